--- a/include/gaugecart/choice.h
+++ b/include/gaugecart/choice.h
@@ -64,7 +64,7 @@
   bool may_advise = false;     // A refusal may say how long to stay away.
   std::uint32_t max_attempts = 1;
   // Requests held from which on a pool that has more than its even part of them takes no more in.
-  std::size_t most_held = std::numeric_limits<std::size_t>::max();
+  std::size_t max_pending = std::numeric_limits<std::size_t>::max();
   Micros max_advice = 0;
 
   Micros keepalive = 0;  // Idle connections are closed after this long; 0: not known.
@@ -133,15 +133,15 @@
 };
 
 // What a balancer has learned that a later one in its place may begin with.
-struct Lesson {
-  struct Shunned {
+struct LearnedState {
+  struct Ejection {
     EndpointId endpoint = 0;
-    Micros launched = 0;  // As in its Endpoint: of another process nothing was learned.
-    Micros left = 0;      // How long it is still to be shunned.
+    Micros launched = 0;   // As in its Endpoint: of another process nothing was learned.
+    Micros remaining = 0;  // How long it is still to be shunned.
     std::int32_t strikes = 0;
   };
   double limit = 0;  // Seats of all priority levels together; 0: not learned.
-  std::vector<Shunned> shunned;
+  std::vector<Ejection> ejections;
 };
 
 // Where decisions go. A call must not enter the balancer again.
@@ -183,11 +183,11 @@
   // What an earlier balancer in this place had learned; after the list. The caller answers for its
   // age. The limit counts up to where a start would begin, shunned endpoints up to the part of the
   // list that may be shunned at all.
-  void OnLearned(Micros now, const Lesson& lesson);
-  Lesson Learned(Micros now) const;
+  void RestoreState(Micros now, const LearnedState& state);
+  LearnedState ExportState(Micros now) const;
 
   // How many listed endpoints calls are kept from at this moment.
-  std::size_t Avoided(Micros now) const;
+  std::size_t CountAvoided(Micros now) const;
 
  private:
   class Impl;
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -27,7 +27,7 @@
         fleet_(settings_, seed),
         shares_(settings_),
         limiter_(FirstLimit(settings_),
-                 kSeatFloor * static_cast<double>(settings_.classes.size())) {
+                 kMinLevelLimit * static_cast<double>(settings_.classes.size())) {
     for (std::uint32_t i = 0; i < settings_.classes.size(); ++i)
       levels_.emplace_back(i, settings_.tail_counts);
     arrivals_.resize(std::max<std::size_t>(1, settings_.tenants.size()));
@@ -69,7 +69,7 @@
     level.demand.Add(now, Expected(request.priority_level) / 1e6);
     // More would leave the next no way in, not even to be refused. A pool keeps its even part.
     const std::size_t mine = (level.queues.size() + level.in_flight) * levels_.size();
-    if (std::min(ledger_.held() - 1, mine) >= settings_.most_held) return Refuse(request.id, now);
+    if (std::min(ledger_.held() - 1, mine) >= settings_.max_pending) return Refuse(request.id, now);
     Arm(request.due, Due::kAnswer, request.id);
     const Micros wait = WaitCap(*call, now);
     call->queued = true;
@@ -115,13 +115,14 @@
     Settle(now);
   }
 
-  std::size_t Avoided(Micros now) const { return fleet_.Avoided(now); }
+  std::size_t CountAvoided(Micros now) const { return fleet_.CountAvoided(now); }
 
-  Lesson Learned(Micros now) const { return {limiter_.limit(), fleet_.Shunned(now)}; }
+  LearnedState ExportState(Micros now) const { return {limiter_.limit(), fleet_.Ejections(now)}; }
 
-  void OnLearned(Micros now, const Lesson& lesson) {
-    if (lesson.limit > 0) limiter_.Recall(lesson.limit);
-    for (const Lesson::Shunned& shunned : lesson.shunned) fleet_.Shun(shunned, now);
+  void RestoreState(Micros now, const LearnedState& state) {
+    if (state.limit > 0) limiter_.Recall(state.limit);
+    for (const LearnedState::Ejection& ejection : state.ejections)
+      fleet_.RestoreEjection(ejection, now);
   }
 
   void OnAbandoned(Micros now, RequestId request) {
@@ -190,7 +191,7 @@
     const double even = 1.0 / static_cast<double>(levels_.size());
     const double asked = all > 0 ? levels_[index].demand.Rate(now) / all : even;
     const double share = 0.25 * even + 0.75 * asked;
-    return std::max(std::min(kSeatFloor, limiter_.limit() * even), limiter_.limit() * share);
+    return std::max(std::min(kMinLevelLimit, limiter_.limit() * even), limiter_.limit() * share);
   }
 
   double InFlight() const {
@@ -200,25 +201,25 @@
   }
 
   void Learn(Level& level, const ClassSettings& c, const Outcome& o, Micros now) {
-    const bool calm = level.Calm();
+    const bool calm = level.NearBaseline();
     const bool slow = !calm && level.times.typical() > kPromptPart * static_cast<double>(c.aim);
     const bool late = slow && level.times.typical() > static_cast<double>(c.aim);
     if (o.code == OutcomeCode::kTimeout || o.code == OutcomeCode::kReset ||
         o.code == OutcomeCode::kFull) {
-      limiter_.Overload(InFlight(), slow, late);
+      limiter_.NoteOverload(InFlight(), slow, late);
     }
     if (o.code != OutcomeCode::kOk) return;
     retry_budget_.Earn();
     level.times.Note(static_cast<double>(o.rtt), now);
-    const bool low = limiter_.Low();
+    const bool low = limiter_.IsFarBelowStart();
     const bool prompt = static_cast<double>(o.rtt) <= kPromptPart * static_cast<double>(c.aim);
     // Where answers take no longer than in calm times, fewer calls do not make them faster. An
     // answer well inside its aim can still tell of a queue: a limit that rises until answers are
     // late jams servers long before.
     if (o.rtt > c.aim && !(calm && low)) {
-      limiter_.Overload(InFlight(), slow, late);
+      limiter_.NoteOverload(InFlight(), slow, late);
     } else if ((calm && low) || (prompt && (calm || (!slow && low)))) {
-      limiter_.Prompt(InFlight() + 1.0, !settings_.tail_counts);
+      limiter_.NotePrompt(InFlight() + 1.0, !settings_.tail_counts);
     }
   }
 
@@ -293,12 +294,12 @@
         ArmPump(level.rest_until);
         return;
       }
-      std::optional<Waiting> w = level.queues.Next([&](const Waiting& x) {
+      std::optional<QueuedRequest> w = level.queues.Next([&](const QueuedRequest& x) {
         return shares_.Within(x.flow, now) &&
                static_cast<double>(x.due - now) >= level.times.typical();
       });
       if (!w && taken <= kSparePart * level.Openness() * seats)
-        w = level.queues.Next([](const Waiting&) { return true; });
+        w = level.queues.Next([](const QueuedRequest&) { return true; });
       if (!w) return;
       Call* call = ledger_.Find(w->request);
       if (call == nullptr) continue;
@@ -369,8 +370,10 @@
 void Balancer::OnOutcome(Micros now, const Outcome& outcome) { impl_->OnOutcome(now, outcome); }
 void Balancer::OnAbandoned(Micros now, RequestId request) { impl_->OnAbandoned(now, request); }
 void Balancer::OnTimer(Micros now, std::uint64_t mark) { impl_->OnTimer(now, mark); }
-void Balancer::OnLearned(Micros now, const Lesson& lesson) { impl_->OnLearned(now, lesson); }
-Lesson Balancer::Learned(Micros now) const { return impl_->Learned(now); }
-std::size_t Balancer::Avoided(Micros now) const { return impl_->Avoided(now); }
+void Balancer::RestoreState(Micros now, const LearnedState& state) {
+  impl_->RestoreState(now, state);
+}
+LearnedState Balancer::ExportState(Micros now) const { return impl_->ExportState(now); }
+std::size_t Balancer::CountAvoided(Micros now) const { return impl_->CountAvoided(now); }
 
 }  // namespace gaugecart
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -71,28 +71,29 @@
   }
 
   // Listed endpoints that calls are kept from: draining, or shunned for their failures.
-  std::size_t Avoided(Micros now) const {
+  std::size_t CountAvoided(Micros now) const {
     return static_cast<std::size_t>(
         std::count_if(servers_.begin(), servers_.end(), [&](const auto& entry) {
           const Server& s = entry.second;
-          return s.listed && (!s.Ready() || s.health.Avoided(now));
+          return s.listed && (!s.Ready() || s.health.ShouldAvoid(now));
         }));
   }
 
-  std::vector<Lesson::Shunned> Shunned(Micros now) const {
-    std::vector<Lesson::Shunned> all;
+  std::vector<LearnedState::Ejection> Ejections(Micros now) const {
+    std::vector<LearnedState::Ejection> all;
     for (const Server* s : ready_) {
-      const Micros left = s->health.Left(now);
+      const Micros left = s->health.RemainingEjection(now);
       if (left == 0) continue;
       all.push_back({s->info.id, s->info.launched, left, s->health.strikes()});
     }
     return all;
   }
 
-  void Shun(const Lesson::Shunned& told, Micros now) {
-    Server* s = Find(told.endpoint);
-    if (s == nullptr || !s->Ready() || s->info.launched != told.launched || MostEjected()) return;
-    s->health.Recall(told.left, told.strikes, now);
+  void RestoreEjection(const LearnedState::Ejection& ejection, Micros now) {
+    Server* s = Find(ejection.endpoint);
+    if (s == nullptr || !s->Ready() || s->info.launched != ejection.launched || MostEjected())
+      return;
+    s->health.Recall(ejection.remaining, ejection.strikes, now);
     stale_ = true;
   }
 
@@ -190,7 +191,7 @@
       const bool tried = std::any_of(call.attempts.begin(), call.attempts.end(),
                                      [&](const Attempt& a) { return a.endpoint == s->info.id; });
       const bool ejected =
-          s->health.Avoided(now) || now < s->by_level[call.request.priority_level].passed_until;
+          s->health.ShouldAvoid(now) || now < s->by_level[call.request.priority_level].passed_until;
       const std::array<double, 4> cost = {ejected ? 1.0 : 0.0, tried ? 1.0 : 0.0,
                                           PassedOver(*s, call.request.priority_level, now),
                                           static_cast<double>(s->outs.size() + 1) * s->Pace(now) *
@@ -209,7 +210,8 @@
   bool MostEjected() const {
     const auto ejected = std::count_if(ready_.begin(), ready_.end(),
                                        [](const Server* s) { return s->health.ejected(); });
-    return static_cast<double>(ejected + 1) > kMaxEjected * static_cast<double>(ready_.size());
+    return static_cast<double>(ejected + 1) >
+           kMaxEjectedFraction * static_cast<double>(ready_.size());
   }
 
   // Guards against faults that strike one class and that answers of another hid. A time-out weighs
@@ -321,8 +323,8 @@
   double warm_members_ = 0.0;
   double warm_share_ = 0.0;  // What a warm member got, while there was one.
   Micros warm_share_at_ = 0;
-  UsualFailure usual_failure_;
-  std::map<std::uint32_t, UsualFailure> usual_by_level_;
+  BaselineFailureRate usual_failure_;
+  std::map<std::uint32_t, BaselineFailureRate> usual_by_level_;
   DecayingRate warm_sends_;
   Micros connect_trouble_until_ = std::numeric_limits<Micros>::min();
 };
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -10,11 +10,11 @@
 
 namespace gaugecart {
 
-constexpr double kHealthGain = 0.25;      // Weight of one outcome in an endpoint's failure rate.
-constexpr double kEjectRate = 0.45;       // Failure rate that ejects an endpoint...
-constexpr double kEjectOver = 2.5;        // ...if it is also this many times the usual one.
-constexpr double kMaxEjected = 0.34;      // Largest part of the fleet that may be ejected.
-constexpr Micros kEjectBase = 2'000'000;  // First ejection; doubles up to the cap.
+constexpr double kHealthGain = 0.25;  // Weight of one outcome in an endpoint's failure rate.
+constexpr double kEjectRate = 0.45;   // Failure rate that ejects an endpoint...
+constexpr double kEjectOver = 2.5;    // ...if it is also this many times the usual one.
+constexpr double kMaxEjectedFraction = 0.34;  // Largest part of the fleet that may be ejected.
+constexpr Micros kEjectBase = 2'000'000;      // First ejection; doubles up to the cap.
 constexpr Micros kEjectCap = 16'000'000;
 constexpr double kUsualGain = 0.02;  // Weight of one outcome in the usual failure rate.
 constexpr double kForgiven = 0.05;   // Failure rate at which earlier ejections are forgotten.
@@ -24,7 +24,7 @@
 }
 
 // The usual failure rate of all: what ails everyone ejects no one.
-class UsualFailure {
+class BaselineFailureRate {
  public:
   void Note(bool failed) { rate_ += kUsualGain * ((failed ? 1.0 : 0.0) - rate_); }
   bool Exceeded(double rate) const { return rate >= kEjectRate && rate > kEjectOver * rate_; }
@@ -38,7 +38,7 @@
   // Returns whether it was ejected or let back. `most_ejected` tells whether no more may be; `salt`
   // spreads the ends of ejections.
   template <typename MostEjected>
-  bool Note(bool failed, const UsualFailure& usual, const MostEjected& most_ejected,
+  bool Note(bool failed, const BaselineFailureRate& usual, const MostEjected& most_ejected,
             std::uint64_t salt, Micros now) {
     failure_rate_ += kHealthGain * ((failed ? 1.0 : 0.0) - failure_rate_);
     if (ejected_) {
@@ -67,8 +67,10 @@
   void EndTrial() { on_trial_ = false; }
 
   bool ejected() const { return ejected_; }
-  bool Avoided(Micros now) const { return ejected_ && (on_trial_ || now < eject_until_); }
-  Micros Left(Micros now) const { return ejected_ ? std::max<Micros>(0, eject_until_ - now) : 0; }
+  bool ShouldAvoid(Micros now) const { return ejected_ && (on_trial_ || now < eject_until_); }
+  Micros RemainingEjection(Micros now) const {
+    return ejected_ ? std::max<Micros>(0, eject_until_ - now) : 0;
+  }
   double failure_rate() const { return failure_rate_; }
   int strikes() const { return strikes_; }
 
--- a/src/policy/level.h
+++ b/src/policy/level.h
@@ -19,13 +19,13 @@
 constexpr double kCalmEnough = 1.6;  // Slowness at which spare seats are shut and no limit rises...
 constexpr double kCalmTail = 1.05;   // ...where the goal counts the tail: queues show there first.
 // What is taken for calm doubles in some 1,400 answers.
-constexpr AnswerTimes::Tuning kTimes = {0.1, 0.03, 1.0005, 3e6};
+constexpr AnswerTimes::Tuning kAnswerTimesTuning = {0.1, 0.03, 1.0005, 3e6};
 constexpr std::size_t kQueues = 32;  // A level's queues; enough that two hands seldom coincide.
 constexpr std::size_t kHand = 2;     // Queues dealt to a flow: two hands share all once in ~500.
 constexpr std::size_t kQueueCapacity =
-    16;  // Waiting in one queue; the wait cap mostly binds first.
+    16;  // QueuedRequest in one queue; the wait cap mostly binds first.
 
-struct Waiting {
+struct QueuedRequest {
   RequestId request;
   std::uint64_t flow;
   Micros due;
@@ -53,9 +53,9 @@
   // Joins the shortest queue of the hand. `excess` tells how far a flow is beyond its share.
   // Returns the request shed to keep the queue's capacity, if any; possibly the new one.
   template <typename Excess>
-  std::optional<RequestId> Enqueue(const Waiting& w, const Excess& excess) {
+  std::optional<RequestId> Enqueue(const QueuedRequest& w, const Excess& excess) {
     const auto length = [&](std::size_t q) { return queues_[q].size(); };
-    std::deque<Waiting>& queue = queues_[std::ranges::min(Hand(w.flow), {}, length)];
+    std::deque<QueuedRequest>& queue = queues_[std::ranges::min(Hand(w.flow), {}, length)];
     queue.push_back(w);
     ++size_;
     if (queue.size() <= capacity_) return std::nullopt;
@@ -71,12 +71,12 @@
 
   // One request from the next non-empty queue in turn, of those whose head `admits` allows.
   template <typename Admits>
-  std::optional<Waiting> Next(const Admits& admits) {
+  std::optional<QueuedRequest> Next(const Admits& admits) {
     for (std::size_t i = 0; i < kQueues && size_ > 0; ++i) {
-      std::deque<Waiting>& queue = queues_[(turn_ + i) % kQueues];
+      std::deque<QueuedRequest>& queue = queues_[(turn_ + i) % kQueues];
       if (queue.empty() || !admits(queue.front())) continue;
       turn_ = (turn_ + i + 1) % kQueues;
-      const Waiting w = queue.front();
+      const QueuedRequest w = queue.front();
       queue.pop_front();
       --size_;
       return w;
@@ -84,14 +84,15 @@
     return std::nullopt;
   }
 
-  void PutBack(const Waiting& w) {
+  void PutBack(const QueuedRequest& w) {
     queues_[Hand(w.flow)[0]].push_front(w);
     ++size_;
   }
 
   void Remove(RequestId request, std::uint64_t flow) {
     for (std::size_t q : Hand(flow)) {
-      size_ -= std::erase_if(queues_[q], [&](const Waiting& w) { return w.request == request; });
+      size_ -=
+          std::erase_if(queues_[q], [&](const QueuedRequest& w) { return w.request == request; });
     }
   }
 
@@ -100,7 +101,7 @@
  private:
   std::uint64_t salt_;
   std::size_t capacity_;
-  std::vector<std::deque<Waiting>> queues_;
+  std::vector<std::deque<QueuedRequest>> queues_;
   std::size_t turn_ = 0;
   std::size_t size_ = 0;
 };
@@ -114,13 +115,13 @@
   double Openness() const {
     return std::clamp((calm_enough - times.Slowness()) / (calm_enough - 1.0), 0.0, 1.0);
   }
-  bool Calm() const { return times.Slowness() < calm_enough; }
+  bool NearBaseline() const { return times.Slowness() < calm_enough; }
 
   FairQueues queues;
   double calm_enough;
   std::size_t in_flight = 0;  // Attempts that hold a seat of this pool.
   DecayingRate demand;        // Seat-seconds asked for, a second: sets this level's share.
-  AnswerTimes times{kTimes};
+  AnswerTimes times{kAnswerTimesTuning};
   Micros rest_until = 0;  // Less than one seat: it stays empty until then.
 };
 
--- a/src/policy/limiter.h
+++ b/src/policy/limiter.h
@@ -16,11 +16,11 @@
 constexpr double kRisePart = 0.0625;  // ...or this for each: one late in eight keeps the balance.
 constexpr double kLowPart = 0.5;      // Below this part of the first limit it is on its way back...
 constexpr double kRecovery = 0.25;    // ...and wins this for each prompt answer.
-constexpr double kSeatFloor = 2.0;    // Seats a level keeps while answers come in time...
-constexpr double kLastSeat = 0.25;    // ...and where they come too late: it still learns.
-constexpr double kShareSpan = 2.0;    // Seconds of its share that a tenant may save up.
-constexpr double kRetryRatio = 0.2;   // Retries earned by one first attempt.
-constexpr double kRetryCap = 10.0;    // Retries that can be saved up.
+constexpr double kMinLevelLimit = 2.0;  // Seats a level keeps while answers come in time...
+constexpr double kLastSeat = 0.25;      // ...and where they come too late: it still learns.
+constexpr double kShareSpan = 2.0;      // Seconds of its share that a tenant may save up.
+constexpr double kRetryRatio = 0.2;     // Retries earned by one first attempt.
+constexpr double kRetryCap = 10.0;      // Retries that can be saved up.
 
 // The learned total of seats, dealt to the levels by shares. Each answer moves it by itself: the
 // balance stands at the same part of late answers whether five calls are out or five hundred.
@@ -30,11 +30,11 @@
 
   // Far below where it began: a fall goes deeper than the trouble, and answers that are as many as
   // the seats would take minutes to win back at the usual pace what was lost in seconds.
-  bool Low() const { return limit_ < kLowPart * start_; }
+  bool IsFarBelowStart() const { return limit_ < kLowPart * start_; }
 
-  void Prompt(double in_use, bool whole) {
+  void NotePrompt(double in_use, bool whole) {
     // A limit that is not reached learns nothing from success.
-    if (in_use * 2.0 >= limit_ && Low()) {
+    if (in_use * 2.0 >= limit_ && IsFarBelowStart()) {
       limit_ += kRecovery;
     } else if (in_use * 2.0 >= limit_) {
       limit_ += whole || limit_ < floor_ ? std::clamp(kRise / limit_, kRisePart, 1.0) : kRisePart;
@@ -44,10 +44,10 @@
   // few calls each would fill the servers before one of them had come down. While the usual answer
   // is late even two seats a level are too many for such a group; with less than one a level rests.
   // Harm: where the callers did not cause it, calls are refused that would only have been late.
-  void Overload(double in_use, bool slow, bool late) {
+  void NoteOverload(double in_use, bool slow, bool late) {
     told_ = true;
     if (slow) limit_ = std::min(limit_, in_use + 1.0);
-    const double floor = late ? floor_ * kLastSeat / kSeatFloor : std::min(floor_, limit_);
+    const double floor = late ? floor_ * kLastSeat / kMinLevelLimit : std::min(floor_, limit_);
     limit_ = std::max(floor, limit_ - std::min(kCut, limit_ * kCutPart));
   }
   double limit() const { return limit_; }
--- a/src/policy/subset.h
+++ b/src/policy/subset.h
@@ -8,7 +8,7 @@
 
 namespace gaugecart {
 
-constexpr std::size_t kFirstSubset = 3;  // Endpoints in use at the start.
+constexpr std::size_t kInitialSubsetSize = 3;  // Endpoints in use at the start.
 constexpr double kGolden = 0.6180339887498949;
 constexpr std::size_t kEvenRanks = 12;  // Ranks dealt evenly over the group; private beyond.
 
@@ -20,11 +20,11 @@
     ++size_;
     return true;
   }
-  void Shrink() { size_ = std::max(kFirstSubset, size_ - 1); }
+  void Shrink() { size_ = std::max(kInitialSubsetSize, size_ - 1); }
   std::size_t size() const { return size_; }
 
  private:
-  std::size_t size_ = kFirstSubset;
+  std::size_t size_ = kInitialSubsetSize;
 };
 
 // The order in which this balancer of its group takes endpoints into use.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -150,7 +150,7 @@
       settle_timer_(loop.NewTimer([this] { Settle(); })) {
   // An eighth of the places is left for those who are to be refused.
   if (!Mutated(Mutant::kHoldAll)) {
-    config_.setup.settings.most_held = Server::MostClients(budget_.limit) / 8 * 7;
+    config_.setup.settings.max_pending = Server::MostClients(budget_.limit) / 8 * 7;
   }
   if (Mutated(Mutant::kManyAttempts)) config_.setup.settings.max_attempts = 9;
   if (Mutated(Mutant::kNoBudget)) budget_.limit = 100'000;
@@ -182,23 +182,23 @@
 }
 
 Lesson Sidecar::Learned() const {
-  const gaugecart::Lesson learned = balancer_->Learned(Now());
+  const gaugecart::LearnedState learned = balancer_->ExportState(Now());
   Lesson lesson{learned.limit, {}};
-  for (const auto& s : learned.shunned) {
-    lesson.shunned.push_back({NameOf(s.endpoint), s.launched, s.left, s.strikes});
+  for (const auto& s : learned.ejections) {
+    lesson.shunned.push_back({NameOf(s.endpoint), s.launched, s.remaining, s.strikes});
   }
   return lesson;
 }
 
 void Sidecar::Recall(const Lesson& lesson) {
   log_.Trace([&] { return "recall " + WordsOf(lesson); });
-  gaugecart::Lesson learned{lesson.limit, {}};
+  gaugecart::LearnedState learned{lesson.limit, {}};
   for (const auto& s : lesson.shunned) {
     for (const auto& [id, host] : hosts_) {
-      if (host == s.host) learned.shunned.push_back({id, s.born, s.left, s.strikes});
+      if (host == s.host) learned.ejections.push_back({id, s.born, s.left, s.strikes});
     }
   }
-  Run([this, learned = std::move(learned)] { balancer_->OnLearned(Now(), learned); });
+  Run([this, learned = std::move(learned)] { balancer_->RestoreState(Now(), learned); });
 }
 
 void Sidecar::OpenPeers() {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -63,7 +63,7 @@
   kelpspring::Log& log() { return log_; }
   // Endpoints in the list, and how many of them the module avoids.
   std::size_t listed() const { return hosts_.size(); }
-  std::size_t avoided() const { return balancer_->Avoided(Now()); }
+  std::size_t avoided() const { return balancer_->CountAvoided(Now()); }
   // What its next start may begin with.
   Lesson Learned() const;
   // What passed between it and its peers; none where it has no such channel.
--- a/src/tier/policy/endpoint.cpp
+++ b/src/tier/policy/endpoint.cpp
@@ -122,7 +122,7 @@
 
 double Endpoint::BatchRoom(Micros now) const {
   if (!info_.runs_batch || !Usable(now) || Resting(now) || Silent(now)) return 0.0;
-  if (health_.Avoided(now)) return 0.0;
+  if (health_.ShouldAvoid(now)) return 0.0;
   const double seats = batch_limit_.seats() - static_cast<double>(batch_calls_);
   const double slots = BatchPart() - Running(now);
   const double unread = kMostBatchUnread - static_cast<double>(batch_unread_);
--- a/src/tier/policy/levels.cpp
+++ b/src/tier/policy/levels.cpp
@@ -19,7 +19,8 @@
 
 }  // namespace
 
-Levels::Entry::Entry(std::uint32_t index) : pool(index, false), held(gaugecart::kTimes) {}
+Levels::Entry::Entry(std::uint32_t index)
+    : pool(index, false), held(gaugecart::kAnswerTimesTuning) {}
 
 Levels::Levels() { SetCount(1); }
 
@@ -36,7 +37,7 @@
 
 void Levels::BeginAt(double limit) {
   limiter_.emplace(std::max(limit, LeastStart()),
-                   gaugecart::kSeatFloor * static_cast<double>(levels_.size()));
+                   gaugecart::kMinLevelLimit * static_cast<double>(levels_.size()));
 }
 
 double Levels::LeastStart() const { return kFirstLimit * static_cast<double>(levels_.size()); }
@@ -46,7 +47,8 @@
   levels_[level].pool.demand.Add(now, usual > 0 ? usual : kFirstSpan);
 }
 
-std::optional<CallId> Levels::Enqueue(std::uint32_t level, const gaugecart::Waiting& waiting) {
+std::optional<CallId> Levels::Enqueue(std::uint32_t level,
+                                      const gaugecart::QueuedRequest& waiting) {
   Entry& entry = levels_[level];
   ++entry.waiting[waiting.flow];
   const auto shed = entry.pool.queues.Enqueue(waiting, [&](std::uint64_t flow) {
@@ -61,18 +63,18 @@
   RemoveWaiting(levels_[level], flow);
 }
 
-std::optional<gaugecart::Waiting> Levels::Next(Micros now, std::uint32_t level) {
+std::optional<gaugecart::QueuedRequest> Levels::Next(Micros now, std::uint32_t level) {
   Entry& entry = levels_[level];
   if (entry.pool.queues.size() == 0) return std::nullopt;
   if (static_cast<double>(entry.pool.in_flight) + 1.0 > std::max(1.0, LimitOf(now, level))) {
     return std::nullopt;
   }
-  const auto next = entry.pool.queues.Next([](const gaugecart::Waiting&) { return true; });
+  const auto next = entry.pool.queues.Next([](const gaugecart::QueuedRequest&) { return true; });
   if (next) RemoveWaiting(entry, next->flow);
   return next;
 }
 
-void Levels::PutBack(std::uint32_t level, const gaugecart::Waiting& waiting) {
+void Levels::PutBack(std::uint32_t level, const gaugecart::QueuedRequest& waiting) {
   levels_[level].pool.queues.PutBack(waiting);
   ++levels_[level].waiting[waiting.flow];
 }
@@ -91,15 +93,15 @@
   gaugecart::Level& pool = levels_[level].pool;
   const double part = static_cast<double>(took) / static_cast<double>(objective);
   pool.times.Note(part, now);
-  const bool calm = pool.Calm();
+  const bool calm = pool.NearBaseline();
   const bool slow = !calm && pool.times.typical() > kPromptPart;
   const bool late = slow && pool.times.typical() > 1.0;
-  const bool low = limiter_->Low();
+  const bool low = limiter_->IsFarBelowStart();
   // Where first events take no longer than in calm times, fewer calls do not make them faster.
   if (part > 1.0 && !(calm && low)) {
     Overload(slow, late);
   } else if ((calm && low) || (part <= kPromptPart && (calm || (!slow && low)))) {
-    limiter_->Prompt(InFlight(), true);
+    limiter_->NotePrompt(InFlight(), true);
   }
 }
 
@@ -109,13 +111,13 @@
 
 void Levels::NoteOverload(std::uint32_t level) {
   const gaugecart::Level& pool = levels_[level].pool;
-  const bool slow = !pool.Calm() && pool.times.typical() > kPromptPart;
+  const bool slow = !pool.NearBaseline() && pool.times.typical() > kPromptPart;
   Overload(slow, slow && pool.times.typical() > 1.0);
 }
 
 void Levels::Overload(bool slow, bool late) {
   told_ = true;
-  limiter_->Overload(InFlight(), slow, late);
+  limiter_->NoteOverload(InFlight(), slow, late);
 }
 
 Micros Levels::UsualSpan(std::uint32_t level) const {
@@ -128,7 +130,7 @@
   const double all = limit();
   if (Mutated(Mutant::kLendPools)) return all;
   if (IsBatch(level)) return batch_seats_;
-  if (level >= count_) return gaugecart::kSeatFloor;  // What is left there still drains.
+  if (level >= count_) return gaugecart::kMinLevelLimit;  // What is left there still drains.
   const std::size_t live = count_ > 1 ? count_ - 1 : 1;
   double asked = 0.0;
   double own = 0.0;
@@ -141,7 +143,7 @@
   const double even = 1.0 / static_cast<double>(live);
   const double share = kEvenPart * even + (1.0 - kEvenPart) * (asked > 0 ? own / asked : even);
   const double seats = (count_ > 1 ? 1.0 - kBatchShare : 1.0) * all;
-  return std::max(std::min(gaugecart::kSeatFloor, seats * even), seats * share);
+  return std::max(std::min(gaugecart::kMinLevelLimit, seats * even), seats * share);
 }
 
 double Levels::InFlight() const {
--- a/src/tier/policy/levels.h
+++ b/src/tier/policy/levels.h
@@ -41,13 +41,13 @@
   // A call has come, which will take about as long as calls of its level do.
   void NoteArrival(Micros now, std::uint32_t level);
   // Returns the call shed to keep the queue's capacity, if any; possibly this one.
-  std::optional<CallId> Enqueue(std::uint32_t level, const gaugecart::Waiting& waiting);
+  std::optional<CallId> Enqueue(std::uint32_t level, const gaugecart::QueuedRequest& waiting);
   void Remove(std::uint32_t level, CallId call, std::uint64_t flow);
   // The next call of the level while its pool has room.
-  std::optional<gaugecart::Waiting> Next(Micros now, std::uint32_t level);
+  std::optional<gaugecart::QueuedRequest> Next(Micros now, std::uint32_t level);
 
   // Back to the front: it cannot be sent just now.
-  void PutBack(std::uint32_t level, const gaugecart::Waiting& waiting);
+  void PutBack(std::uint32_t level, const gaugecart::QueuedRequest& waiting);
 
   void Start(std::uint32_t level) { ++levels_[level].pool.in_flight; }
   void Finish(std::uint32_t level) { --levels_[level].pool.in_flight; }
--- a/src/tier/policy/picker.cpp
+++ b/src/tier/policy/picker.cpp
@@ -138,7 +138,7 @@
 }
 
 Picker::Standing Picker::StandingOf(Micros now, const HeldCall& held, const Endpoint& endpoint) {
-  if (endpoint.health().Avoided(now)) return Standing::kEjected;
+  if (endpoint.health().ShouldAvoid(now)) return Standing::kEjected;
   if (endpoint.Silent(now)) return Standing::kSilent;
   if (held.Tried(endpoint)) return Standing::kTried;
   return endpoint.Resting(now) ? Standing::kResting : Standing::kSound;
--- a/src/tier/policy/services.h
+++ b/src/tier/policy/services.h
@@ -28,7 +28,7 @@
   std::vector<Endpoint*> batch_members;    // ...and which of them a call may go to now.
   Picker picker;
   ServiceFacts facts;
-  gaugecart::UsualFailure usual_failure;
+  gaugecart::BaselineFailureRate usual_failure;
   int max_connections = 0;
   double slots = 0.0;  // Of all endpoints.
   std::size_t in_flight = 0;
--- a/src/tier/policy/subset.cpp
+++ b/src/tier/policy/subset.cpp
@@ -97,7 +97,7 @@
   if (now >= window_end_) {
     if (window_end_ > 0 && window_peak_ < size_.size()) {
       size_.Shrink();
-      adopted_.resize(std::min(adopted_.size(), size_.size() - gaugecart::kFirstSubset));
+      adopted_.resize(std::min(adopted_.size(), size_.size() - gaugecart::kInitialSubsetSize));
       stale_ = true;
     }
     window_end_ = now + kShrinkSpan;
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -41,50 +41,50 @@
 
 // ---- What an earlier life had learned ----
 
-TEST(Lesson, ALowerLimitIsTakenAHigherOneIsWonAgain) {
+TEST(LearnedState, ALowerLimitIsTakenAHigherOneIsWonAgain) {
   Driver fresh(BasicSettings());
-  const double start = fresh.balancer.Learned(fresh.now).limit;
+  const double start = fresh.balancer.ExportState(fresh.now).limit;
   for (const double told : {start * 0.6, start * 3, 0.0}) {
     Driver d(BasicSettings());
-    d.balancer.OnLearned(d.now, {told, {}});
-    EXPECT_DOUBLE_EQ(d.balancer.Learned(d.now).limit, told > 0 ? std::min(told, start) : start);
+    d.balancer.RestoreState(d.now, {told, {}});
+    EXPECT_DOUBLE_EQ(d.balancer.ExportState(d.now).limit, told > 0 ? std::min(told, start) : start);
   }
   Driver d(BasicSettings());
-  d.balancer.OnLearned(d.now, {0.001, {}});
-  EXPECT_GE(d.balancer.Learned(d.now).limit, 1.0);  // Never so low that it learns nothing.
+  d.balancer.RestoreState(d.now, {0.001, {}});
+  EXPECT_GE(d.balancer.ExportState(d.now).limit, 1.0);  // Never so low that it learns nothing.
 }
 
-TEST(Lesson, AShunnedEndpointStaysShunnedForItsTimeAndNoLonger) {
+TEST(LearnedState, AShunnedEndpointStaysShunnedForItsTimeAndNoLonger) {
   Driver d(BasicSettings());
   const auto nodes = Nodes(6);
   d.List(nodes);
   const EndpointId bad = nodes[2].id;
-  d.balancer.OnLearned(d.now, {0, {{bad, nodes[2].launched, 2'000'000, 1}}});
-  EXPECT_EQ(d.balancer.Avoided(d.now), 1u);
-  ASSERT_EQ(d.balancer.Learned(d.now).shunned.size(), 1u);
-  EXPECT_EQ(d.balancer.Learned(d.now).shunned[0].left, 2'000'000);
+  d.balancer.RestoreState(d.now, {0, {{bad, nodes[2].launched, 2'000'000, 1}}});
+  EXPECT_EQ(d.balancer.CountAvoided(d.now), 1u);
+  ASSERT_EQ(d.balancer.ExportState(d.now).ejections.size(), 1u);
+  EXPECT_EQ(d.balancer.ExportState(d.now).ejections[0].remaining, 2'000'000);
   for (RequestId id = 1; id <= 12; ++id) {
     d.Ask(id);
     EXPECT_NE(d.Sends().back().endpoint, bad);
     d.Answer(id, d.Sends().back().endpoint, OutcomeCode::kOk);
   }
   d.Advance(d.now + 2'100'000);
-  EXPECT_EQ(d.balancer.Avoided(d.now), 0u);
+  EXPECT_EQ(d.balancer.CountAvoided(d.now), 0u);
 }
 
-TEST(Lesson, OfAnotherProcessOrBeyondWhatMayBeShunnedNothingIsTaken) {
+TEST(LearnedState, OfAnotherProcessOrBeyondWhatMayBeShunnedNothingIsTaken) {
   Driver d(BasicSettings());
   const auto nodes = Nodes(6);
   d.List(nodes);
-  d.balancer.OnLearned(
+  d.balancer.RestoreState(
       d.now, {0, {{nodes[0].id, nodes[0].launched + 5, 2'000'000, 1}, {999, 0, 2'000'000, 1}}});
-  EXPECT_EQ(d.balancer.Avoided(d.now), 0u);
-  Lesson all;
-  for (const Endpoint& e : nodes) all.shunned.push_back({e.id, e.launched, 1'000'000'000, 100});
-  d.balancer.OnLearned(d.now, all);
-  EXPECT_EQ(d.balancer.Avoided(d.now), 2u);  // Of six.
+  EXPECT_EQ(d.balancer.CountAvoided(d.now), 0u);
+  LearnedState all;
+  for (const Endpoint& e : nodes) all.ejections.push_back({e.id, e.launched, 1'000'000'000, 100});
+  d.balancer.RestoreState(d.now, all);
+  EXPECT_EQ(d.balancer.CountAvoided(d.now), 2u);  // Of six.
   d.Advance(d.now + 33'000'000);
-  EXPECT_EQ(d.balancer.Avoided(d.now), 0u);
+  EXPECT_EQ(d.balancer.CountAvoided(d.now), 0u);
 }
 
 TEST(Path, AQuietBalancerSendsAtOnceAndPassesTheAnswer) {
@@ -99,7 +99,7 @@
 TEST(Path, APoolBeyondItsPartIsRefusedWhereNoMoreCanBeHeld) {
   Settings s = BasicSettings();
   s.classes = {Class(Repeat::kIdempotent), Class(Repeat::kIdempotent)};
-  s.most_held = 8;
+  s.max_pending = 8;
   Driver d(s);
   d.List(Nodes(5));
   for (RequestId id = 1; id <= 8; ++id) d.Ask(id, 0);
--- a/tests/policy/replay.h
+++ b/tests/policy/replay.h
@@ -46,9 +46,9 @@
 
   std::uint64_t Run(int events) {
     for (int i = 0; i < events; ++i) Step();
-    const Lesson lesson = balancer_.Learned(now_);
-    digest_.AddNumber(lesson.limit);
-    for (const Lesson::Shunned& shunned : lesson.shunned) digest_.Add(shunned.endpoint);
+    const LearnedState state = balancer_.ExportState(now_);
+    digest_.AddNumber(state.limit);
+    for (const LearnedState::Ejection& ejection : state.ejections) digest_.Add(ejection.endpoint);
     return digest_.value();
   }
 
@@ -118,7 +118,7 @@
     s.may_duplicate = Chance(0.2);
     s.may_advise = Chance(0.7);
     s.max_attempts = 1 + static_cast<std::uint32_t>(Below(4));
-    if (Chance(0.2)) s.most_held = 8 + Below(60);
+    if (Chance(0.2)) s.max_pending = 8 + Below(60);
     s.max_advice = static_cast<Micros>(Below(500'000));
     s.keepalive = Chance(0.5) ? 500'000 : 0;
     s.cold_from = 0.1 + 0.9 * draws_.Unit();
@@ -149,7 +149,7 @@
     if (what < 97) return balancer_.OnAbandoned(now_, 1 + Below(last_request_ + 1));
     if (what < 98) return balancer_.OnDiscoveryFailed(now_);
     if (what < 99) return Teach();
-    digest_.Add(balancer_.Avoided(now_));
+    digest_.Add(balancer_.CountAvoided(now_));
   }
 
   // What falls due on the way, in its order: answers and the timer.
@@ -225,11 +225,11 @@
   }
 
   void Teach() {
-    Lesson lesson;
-    lesson.limit = 40.0 * draws_.Unit();
+    LearnedState state;
+    state.limit = 40.0 * draws_.Unit();
     const Endpoint& e = endpoints_[Below(endpoints_.size())];
-    lesson.shunned.push_back({e.id, e.launched, static_cast<Micros>(Below(5'000'000)), 2});
-    balancer_.OnLearned(now_, lesson);
+    state.ejections.push_back({e.id, e.launched, static_cast<Micros>(Below(5'000'000)), 2});
+    balancer_.RestoreState(now_, state);
   }
 
   static constexpr Micros kNever = std::numeric_limits<Micros>::max();
--- a/tests/tier/policy/policy_parts_test.cpp
+++ b/tests/tier/policy/policy_parts_test.cpp
@@ -217,33 +217,33 @@
   void Fail(Micros now) {
     for (int i = 0; i < 20 && !health.ejected(); ++i) Note(true, now);
   }
-  gaugecart::UsualFailure usual;
+  gaugecart::BaselineFailureRate usual;
   gaugecart::Health health;
 };
 
 BOOST_FIXTURE_TEST_CASE(is_ejected_for_a_growing_pause_and_let_back_by_one_good_answer, OneHealth) {
   Fail(0);
   BOOST_TEST(health.ejected());
-  const Micros first = health.Left(0);
-  BOOST_TEST(health.Avoided(first - 1));
-  BOOST_TEST(!health.Avoided(first));
+  const Micros first = health.RemainingEjection(0);
+  BOOST_TEST(health.ShouldAvoid(first - 1));
+  BOOST_TEST(!health.ShouldAvoid(first));
   health.StartTrial();
-  BOOST_TEST(health.Avoided(first));  // One trial at a time.
+  BOOST_TEST(health.ShouldAvoid(first));  // One trial at a time.
   Note(true, first);
-  BOOST_TEST(health.Left(first) > first);
-  const Micros second = first + health.Left(first);
+  BOOST_TEST(health.RemainingEjection(first) > first);
+  const Micros second = first + health.RemainingEjection(first);
   health.StartTrial();
   BOOST_TEST(Note(false, second));
   BOOST_TEST(!health.ejected());
-  BOOST_TEST(!health.Avoided(second));
+  BOOST_TEST(!health.ShouldAvoid(second));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_trial_that_tells_nothing_leaves_room_for_another, OneHealth) {
   Fail(0);
-  const Micros later = health.Left(0);
+  const Micros later = health.RemainingEjection(0);
   health.StartTrial();
   health.EndTrial();
-  BOOST_TEST(!health.Avoided(later));
+  BOOST_TEST(!health.ShouldAvoid(later));
 }
 
 BOOST_FIXTURE_TEST_CASE(nothing_is_ejected_for_what_ails_all_or_beyond_the_bound, OneHealth) {
@@ -342,7 +342,7 @@
   List(10, 0);
   const std::set<std::string> before = Ids(0);
   Endpoint& sick = known.at(*before.begin());
-  gaugecart::UsualFailure usual;
+  gaugecart::BaselineFailureRate usual;
   for (int i = 0; i < 5; ++i) {
     usual.Note(false);
     sick.health().Note(
