--- a/src/measures/decaying_rate.h
+++ b/src/measures/decaying_rate.h
@@ -1,4 +1,4 @@
-// The rate of events over the last seconds, older ones weighing ever less.
+// Rate of recent events, weighted by exponential decay.
 #ifndef GAUGECART_MEASURES_DECAYING_RATE_H_
 #define GAUGECART_MEASURES_DECAYING_RATE_H_
 
@@ -11,29 +11,29 @@
 class DecayingRate {
  public:
   using Micros = std::int64_t;
-  static constexpr Micros kMemory = 4'000'000;
+  static constexpr Micros kDecayMicros = 4'000'000;
 
   void Add(Micros now, double amount) {
     Decay(now);
     sum_ += amount;
   }
-  // Events, or their weight, a second.
+  // Events, or the sum of their amounts, per second.
   double Rate(Micros now) {
     Decay(now);
-    const double age = std::max<double>(1e5, static_cast<double>(now - since_)) / kMemory;
-    return sum_ / (1.0 - std::exp(-age)) * 1e6 / kMemory;
+    const double age = std::max<double>(1e5, static_cast<double>(now - first_at_)) / kDecayMicros;
+    return sum_ / (1.0 - std::exp(-age)) * 1e6 / kDecayMicros;
   }
-  bool Settled(Micros now) const { return since_ >= 0 && now - since_ >= kMemory; }
+  bool HasFullWindow(Micros now) const { return first_at_ >= 0 && now - first_at_ >= kDecayMicros; }
 
  private:
   void Decay(Micros now) {
-    if (since_ < 0) since_ = last_ = now;
-    sum_ *= std::exp(-static_cast<double>(now - last_) / kMemory);
-    last_ = now;
+    if (first_at_ < 0) first_at_ = decayed_at_ = now;
+    sum_ *= std::exp(-static_cast<double>(now - decayed_at_) / kDecayMicros);
+    decayed_at_ = now;
   }
   double sum_ = 0.0;
-  Micros last_ = 0;
-  Micros since_ = -1;
+  Micros decayed_at_ = 0;
+  Micros first_at_ = -1;
 };
 
 }  // namespace gaugecart
--- a/src/measures/token_bucket.h
+++ b/src/measures/token_bucket.h
@@ -1,4 +1,4 @@
-// What may be spent at a steady rate, with some saved up.
+// Token bucket: a steady refill rate and a capacity for bursts.
 #ifndef GAUGECART_MEASURES_TOKEN_BUCKET_H_
 #define GAUGECART_MEASURES_TOKEN_BUCKET_H_
 
@@ -16,8 +16,8 @@
       : rate_(rate_per_s), capacity_(capacity), tokens_(capacity) {}
 
   bool Has(Micros now) {
-    tokens_ = std::min(capacity_, tokens_ + rate_ * static_cast<double>(now - at_) / 1e6);
-    at_ = now;
+    tokens_ = std::min(capacity_, tokens_ + rate_ * static_cast<double>(now - refilled_at_) / 1e6);
+    refilled_at_ = now;
     return tokens_ >= 1.0;
   }
   void Spend(Micros now) {
@@ -28,7 +28,7 @@
   double rate_;
   double capacity_;
   double tokens_;
-  Micros at_ = 0;
+  Micros refilled_at_ = 0;
 };
 
 }  // namespace gaugecart
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,7 +1,6 @@
-// Every decision of gaugecart. Interface: include/gaugecart/choice.h. A call takes this path: its
-// class names a priority level with a pool of its own; its tenant is dealt a hand of the level's
-// queues; free seats of the pool go round the queues in turn; a rotation over a subset of endpoints
-// names where it goes; the ledger has the last word on every action.
+// Implements Balancer (include/gaugecart/choice.h). A request's class selects a priority level with
+// its own concurrency limit; its tenant, a few of the level's queues, which are served round-robin;
+// a rotation over a subset of endpoints selects the target. CallTable checks every action last.
 #include <map>
 
 #include "deadlines.h"
@@ -11,11 +10,11 @@
 #include "validate.h"
 
 namespace gaugecart {
-constexpr double kWaitPart = 0.1;     // Longest wait in a queue, as part of the give-up time.
-constexpr double kFirstPart = 0.5;    // Answer time that sizes the first limit, in aims...
-constexpr double kFirstTail = 0.25;   // ...where the goal counts the tail.
-constexpr double kSparePart = 0.7;    // Part of a pool open to calls beyond their tenant's share.
-constexpr Micros kPumpWait = 20'000;  // Look again this soon when nothing may be sent to.
+constexpr double kMaxWaitFraction = 0.1;  // Longest wait in a queue, as a fraction of give_up.
+constexpr double kStartAims = 0.5;        // Answer time, in aims, that sizes the initial limit...
+constexpr double kTailAims = 0.25;        // ...where late answers count in the goal.
+constexpr double kSpareFraction = 0.7;    // Fraction of a level open to tenants over their share.
+constexpr Micros kDispatchRetryMicros = 20'000;  // Retry interval while no endpoint can be used.
 
 class Balancer::Impl {
  public:
@@ -23,174 +22,175 @@
       : settings_((Validate(settings), std::move(settings))),
         seed_(seed),
         actions_(*actions),
-        ledger_(settings_),
+        calls_(settings_),
         fleet_(settings_, seed),
-        shares_(settings_),
-        limiter_(FirstLimit(settings_),
+        tenant_shares_(settings_),
+        limiter_(InitialLimit(settings_),
                  kMinLevelLimit * static_cast<double>(settings_.classes.size())) {
     for (std::uint32_t i = 0; i < settings_.classes.size(); ++i)
       levels_.emplace_back(i, settings_.tail_counts);
     arrivals_.resize(std::max<std::size_t>(1, settings_.tenants.size()));
-    no_quotas_ = Quotas(settings_) <= 0;
+    has_no_quotas_ = TotalQuota(settings_) <= 0;
     if (settings_.discovery_by_ask) {
-      // Spread over the group, so that a fleet starting as one does not swamp discovery.
-      const double place = (static_cast<double>(settings_.me % settings_.group_size) + 0.5) /
-                           static_cast<double>(settings_.group_size);
-      Arm(now + static_cast<Micros>(place * 0.5 * static_cast<double>(settings_.ask_within)),
-          Due::kFollow, 0);
+      // Spreads the group's subscriptions: a simultaneous start must not overload discovery.
+      const double position = (static_cast<double>(settings_.me % settings_.group_size) + 0.5) /
+                              static_cast<double>(settings_.group_size);
+      Arm(now + static_cast<Micros>(position * 0.5 * static_cast<double>(settings_.ask_within)),
+          Timer::kFollow, 0);
     }
-    SetWireTimer();
+    UpdateTimer();
   }
 
   void OnEndpoints(Micros now, ListKind kind, const std::vector<Endpoint>& endpoints) {
-    if (kind != ListKind::kStale) follow_failures_ = 0;
+    if (kind != ListKind::kStale) discovery_failures_ = 0;
     fleet_.Update(now, kind, endpoints);
-    Settle(now);
+    DispatchAndUpdateTimer(now);
   }
 
   void OnDiscoveryFailed(Micros now) {
-    // Backs off, spread by seed, and stays well inside the time the rules give.
-    const Micros pause = 500'000LL << std::min(follow_failures_++, 4);
+    // Exponential backoff with jitter from the seed, well within ask_within.
+    const Micros pause = 500'000LL << std::min(discovery_failures_++, 4);
     const Micros base = std::min<Micros>(settings_.ask_within / 2, pause);
     const double spread = Unit(Mix(seed_ ^ static_cast<std::uint64_t>(now)));
-    Arm(now + static_cast<Micros>(static_cast<double>(base) * (0.5 + spread)), Due::kFollow, 0);
-    SetWireTimer();
+    Arm(now + static_cast<Micros>(static_cast<double>(base) * (0.5 + spread)), Timer::kFollow, 0);
+    UpdateTimer();
   }
 
   void OnRequest(Micros now, const Request& request) {
     if (request.priority_level >= levels_.size()) return;
-    Call* call = ledger_.Take(request);
+    Call* call = calls_.Add(request);
     if (call == nullptr) return;
     const std::uint32_t tenant = TenantOf(request);
     arrivals_[tenant].Add(now, 1.0);
-    // Where no quotas tell what to expect, what comes does.
-    if (no_quotas_) limiter_.StartFrom(Carrying(now));
+    // Without quotas the initial limit follows the observed demand.
+    if (has_no_quotas_) limiter_.RaiseStart(LimitForDemand(now));
     Level& level = levels_[request.priority_level];
-    level.demand.Add(now, Expected(request.priority_level) / 1e6);
-    // More would leave the next no way in, not even to be refused. A pool keeps its even part.
-    const std::size_t mine = (level.queues.size() + level.in_flight) * levels_.size();
-    if (std::min(ledger_.held() - 1, mine) >= settings_.max_pending) return Refuse(request.id, now);
-    Arm(request.due, Due::kAnswer, request.id);
-    const Micros wait = WaitCap(*call, now);
+    level.demand.Add(now, ExpectedMicros(request.priority_level) / 1e6);
+    // Leaves the embedder room to accept and refuse more. A level keeps its even share.
+    const std::size_t load = (level.queues.size() + level.in_flight) * levels_.size();
+    if (std::min(calls_.size() - 1, load) >= settings_.max_pending) return Refuse(request.id, now);
+    Arm(request.due, Timer::kRequestDue, request.id);
+    const Micros wait = MaxQueueWait(*call, now);
     call->queued = true;
     const auto shed = level.queues.Enqueue({request.id, tenant, request.due},
-                                           [&](std::uint64_t t) { return Excess(t, now); });
-    Arm(now + wait, Due::kQueue, request.id);
+                                           [&](std::uint64_t t) { return ShareExcess(t, now); });
+    Arm(now + wait, Timer::kQueueTimeout, request.id);
     if (shed) Refuse(*shed, now);
-    Pump(request.priority_level, now);
-    SetWireTimer();
+    Dispatch(request.priority_level, now);
+    UpdateTimer();
   }
 
   void OnFirstByte(Micros, RequestId request, std::uint32_t attempt) {
-    Call* call = ledger_.Find(request);
+    Call* call = calls_.Find(request);
     if (call == nullptr || attempt >= call->attempts.size()) return;
     call->streaming = true;
   }
 
   void OnOutcome(Micros now, const Outcome& o) {
-    const auto out = outs_.find(std::pair(o.request, o.attempt));
-    if (out == outs_.end()) return;  // Unknown or told before.
-    const std::uint32_t index = out->second;
-    outs_.erase(out);
+    const auto entry = attempt_levels_.find(std::pair(o.request, o.attempt));
+    if (entry == attempt_levels_.end()) return;  // Unknown, or already reported.
+    const std::uint32_t index = entry->second;
+    attempt_levels_.erase(entry);
     Level& level = levels_[index];
     --level.in_flight;
-    if (const double seats = Seats(index, now); seats < 1.0) {
-      level.rest_until = now + static_cast<Micros>(Expected(index) * (1.0 / seats - 1.0));
+    if (const double limit = LevelLimit(index, now); limit < 1.0) {
+      level.paused_until = now + static_cast<Micros>(ExpectedMicros(index) * (1.0 / limit - 1.0));
     }
-    Server* server = fleet_.Find(o.endpoint);
-    if (server == nullptr || fleet_.NoteOutcome(*server, o, index, level.times.typical(), now)) {
-      Learn(level, settings_.classes[index], o, now);
+    EndpointState* endpoint = fleet_.Find(o.endpoint);
+    if (endpoint == nullptr ||
+        fleet_.NoteOutcome(*endpoint, o, index, level.times.typical(), now)) {
+      AdjustLimit(level, settings_.classes[index], o, now);
     }
-    if (Call* call = ledger_.Find(o.request)) {
+    if (Call* call = calls_.Find(o.request)) {
       if (o.attempt < call->attempts.size()) {
-        call->attempts[o.attempt].out = false;
-        call->attempts[o.attempt].proved_unrun = ProvedUnrun(o.code);
+        call->attempts[o.attempt].in_flight = false;
+        call->attempts[o.attempt].provably_not_run = ProvablyNotRun(o.code);
       }
       if (o.closed) {
-        End(*call);
-      } else if (!call->AnyOut()) {
-        AfterFailure(*call, o.code == OutcomeCode::kConnectFailed, now);
+        Finish(*call);
+      } else if (!call->AnyInFlight()) {
+        RetryOrRefuse(*call, o.code == OutcomeCode::kConnectFailed, now);
       }
     }
-    Settle(now);
+    DispatchAndUpdateTimer(now);
   }
 
   std::size_t CountAvoided(Micros now) const { return fleet_.CountAvoided(now); }
 
-  LearnedState ExportState(Micros now) const { return {limiter_.limit(), fleet_.Ejections(now)}; }
+  LearnedState Export(Micros now) const { return {limiter_.limit(), fleet_.Ejections(now)}; }
 
-  void RestoreState(Micros now, const LearnedState& state) {
-    if (state.limit > 0) limiter_.Recall(state.limit);
-    for (const LearnedState::Ejection& ejection : state.ejections)
-      fleet_.RestoreEjection(ejection, now);
+  void Restore(Micros now, const LearnedState& state) {
+    if (state.limit > 0) limiter_.Restore(state.limit);
+    for (const LearnedState::Ejection& e : state.ejections) fleet_.RestoreEjection(e, now);
   }
 
   void OnAbandoned(Micros now, RequestId request) {
-    if (Call* call = ledger_.Find(request)) End(*call);
-    Settle(now);
+    if (Call* call = calls_.Find(request)) Finish(*call);
+    DispatchAndUpdateTimer(now);
   }
 
   void OnTimer(Micros now, std::uint64_t) {
-    dues_.Run(now, [&](const Due& due) { Handle(due, now); });
-    SetWireTimer();
+    timers_.Run(now, [&](const Timer& event) { HandleTimer(event, now); });
+    UpdateTimer();
   }
 
  private:
-  struct Due {
-    enum Kind { kAnswer, kQueue, kFollow, kPump };
+  struct Timer {
+    enum Kind { kRequestDue, kQueueTimeout, kFollow, kDispatch };
     Kind kind;
     RequestId request;
   };
 
-  // Seats that carry all tenants' shares if an answer takes half its aim (sized for all of it,
-  // dozens of calls sit on a server before the first late answer), and so many that a quiet one
-  // never holds.
-  static double FirstLimit(const Settings& s) {
+  // The limit that carries all quotas if an answer takes half its aim (sized for the whole aim,
+  // dozens of calls are in flight to an endpoint before the first late answer), and at least so
+  // much that a mostly idle balancer never queues.
+  static double InitialLimit(const Settings& s) {
     double aim = 0.0;
     for (const ClassSettings& c : s.classes) aim += static_cast<double>(c.aim) / 1e6;
     aim /= static_cast<double>(s.classes.size());
-    const double own = Quotas(s) / s.group_size * aim * (s.tail_counts ? kFirstTail : kFirstPart);
+    const double own =
+        TotalQuota(s) / s.group_size * aim * (s.tail_counts ? kTailAims : kStartAims);
     return std::max(own, 4.0 * static_cast<double>(s.classes.size()));
   }
-  // Seats that carry what comes at calm answer times, with the part to spare that pools have.
-  double Carrying(Micros now) {
-    double seats = 0.0;
+  // The limit that carries the present demand at baseline answer times, with spare capacity.
+  double LimitForDemand(Micros now) {
+    double limit = 0.0;
     for (Level& level : levels_) {
-      if (level.times.calm() > 0) seats += level.demand.Rate(now) / level.times.Slowness();
+      if (level.times.baseline() > 0) limit += level.demand.Rate(now) / level.times.Slowness();
     }
-    return seats / kSparePart;
+    return limit / kSpareFraction;
   }
   std::uint32_t TenantOf(const Request& r) const {
     return r.tenant && *r.tenant < arrivals_.size() ? *r.tenant : 0;
   }
 
-  // How far beyond its share a tenant is: its part of what comes in over its part of the service.
-  double Excess(std::uint64_t tenant, Micros now) {
+  // A tenant's arrival rate over its share of the service.
+  double ShareExcess(std::uint64_t tenant, Micros now) {
     const double share = settings_.tenants.empty() ? 1.0 : settings_.tenants[tenant].share;
     return arrivals_[tenant].Rate(now) / std::max(share, 1e-6);
   }
 
-  double Expected(std::uint32_t index) const {
+  double ExpectedMicros(std::uint32_t index) const {
     const double typical = levels_[index].times.typical();
     return typical > 0 ? typical : 0.3 * static_cast<double>(settings_.classes[index].aim);
   }
 
-  Micros WaitCap(const Call& call, Micros now) const {
-    const ClassSettings& c = ledger_.ClassOf(call);
-    const double fixed = kWaitPart * static_cast<double>(c.give_up);
-    // Leave the work its usual time: a wait that eats it wins nothing.
+  Micros MaxQueueWait(const Call& call, Micros now) const {
+    const ClassSettings& c = calls_.ClassOf(call);
+    const double fixed = kMaxWaitFraction * static_cast<double>(c.give_up);
+    // A wait that uses up the expected answer time only delays the failure.
     const double room =
-        static_cast<double>(call.request.due - now) - Expected(call.request.priority_level);
+        static_cast<double>(call.request.due - now) - ExpectedMicros(call.request.priority_level);
     return static_cast<Micros>(std::max(0.0, std::min(fixed, room)));
   }
 
-  // A level's isolated part of the learned total, by the seat-seconds its calls have asked for.
-  double Seats(std::uint32_t index, Micros now) {
-    double all = 0.0;
-    for (Level& level : levels_) all += level.demand.Rate(now);
+  // A level's isolated share of the total limit: a quarter of it evenly, the rest by demand.
+  double LevelLimit(std::uint32_t index, Micros now) {
+    double total = 0.0;
+    for (Level& level : levels_) total += level.demand.Rate(now);
     const double even = 1.0 / static_cast<double>(levels_.size());
-    const double asked = all > 0 ? levels_[index].demand.Rate(now) / all : even;
-    const double share = 0.25 * even + 0.75 * asked;
+    const double by_demand = total > 0 ? levels_[index].demand.Rate(now) / total : even;
+    const double share = 0.25 * even + 0.75 * by_demand;
     return std::max(std::min(kMinLevelLimit, limiter_.limit() * even), limiter_.limit() * share);
   }
 
@@ -200,9 +200,9 @@
     return static_cast<double>(sum);
   }
 
-  void Learn(Level& level, const ClassSettings& c, const Outcome& o, Micros now) {
-    const bool calm = level.NearBaseline();
-    const bool slow = !calm && level.times.typical() > kPromptPart * static_cast<double>(c.aim);
+  void AdjustLimit(Level& level, const ClassSettings& c, const Outcome& o, Micros now) {
+    const bool normal = level.NearBaseline();
+    const bool slow = !normal && level.times.typical() > kPromptPart * static_cast<double>(c.aim);
     const bool late = slow && level.times.typical() > static_cast<double>(c.aim);
     if (o.code == OutcomeCode::kTimeout || o.code == OutcomeCode::kReset ||
         o.code == OutcomeCode::kFull) {
@@ -211,146 +211,146 @@
     if (o.code != OutcomeCode::kOk) return;
     retry_budget_.Earn();
     level.times.Note(static_cast<double>(o.rtt), now);
-    const bool low = limiter_.IsFarBelowStart();
+    const bool far_below = limiter_.IsFarBelowStart();
     const bool prompt = static_cast<double>(o.rtt) <= kPromptPart * static_cast<double>(c.aim);
-    // Where answers take no longer than in calm times, fewer calls do not make them faster. An
-    // answer well inside its aim can still tell of a queue: a limit that rises until answers are
-    // late jams servers long before.
-    if (o.rtt > c.aim && !(calm && low)) {
+    // At baseline answer times fewer calls do not make answers faster. A prompt answer may still
+    // have queued: a limit that rises until answers are late overloads endpoints long before.
+    if (o.rtt > c.aim && !(normal && far_below)) {
       limiter_.NoteOverload(InFlight(), slow, late);
-    } else if ((calm && low) || (prompt && (calm || (!slow && low)))) {
+    } else if ((normal && far_below) || (prompt && (normal || (!slow && far_below)))) {
       limiter_.NotePrompt(InFlight() + 1.0, !settings_.tail_counts);
     }
   }
 
-  void End(Call& call) {
+  void Finish(Call& call) {
     if (call.queued) {
       levels_[call.request.priority_level].queues.Remove(call.request.id, TenantOf(call.request));
     }
-    ledger_.Drop(call.request.id);
+    calls_.Remove(call.request.id);
   }
 
-  // Final answer by this balancer: a refusal where the ledger allows one, else a failure.
+  // Ends the request: with a refusal where the call table allows one, else with a failure.
   void Refuse(RequestId id, Micros now) {
-    Call* call = ledger_.Find(id);
+    Call* call = calls_.Find(id);
     if (call == nullptr) return;
-    if (ledger_.MayRefuse(*call) && !call->AnyOut() && now < call->request.due) {
-      // Those refused at one moment must not all be back at one moment.
-      const Micros aim = ledger_.ClassOf(*call).aim;
+    if (calls_.MayRefuse(*call) && !call->AnyInFlight() && now < call->request.due) {
+      // Jitter: requests refused together must not be retried together.
+      const Micros aim = calls_.ClassOf(*call).aim;
       const double spread = 0.5 * static_cast<double>(aim) * Unit(Mix(seed_ ^ id));
       const Micros advice = aim / 4 + static_cast<Micros>(spread);
       actions_.Refuse(id, settings_.may_advise ? std::min(settings_.max_advice, advice) : 0);
     } else {
       actions_.Fail(id);
     }
-    End(*call);
+    Finish(*call);
   }
 
-  // What never got a connection has cost its endpoint next to nothing: it goes on without a token.
-  void AfterFailure(Call& call, bool unconnected, Micros now) {
-    if (ledger_.MaySendAgain(call, now) && (unconnected || retry_budget_.Has())) {
-      if (Server* server = fleet_.Pick(ledger_, call, now)) {
+  // A failed connection cost its endpoint next to nothing: its retry needs no budget.
+  void RetryOrRefuse(Call& call, bool unconnected, Micros now) {
+    if (calls_.MaySend(call, now) && (unconnected || retry_budget_.Has())) {
+      if (EndpointState* endpoint = fleet_.Pick(calls_, call, now)) {
         if (!unconnected) retry_budget_.Spend();
-        Send(call, *server, now);
+        Send(call, *endpoint, now);
         return;
       }
     }
     Refuse(call.request.id, now);
   }
 
-  void Send(Call& call, Server& server, Micros now) {
-    if (!ledger_.MaySendTo(call, server.info, now)) return;  // The last gate.
+  void Send(Call& call, EndpointState& target, Micros now) {
+    if (!calls_.MaySendTo(call, target.info, now)) return;  // Checked for every send.
     const std::uint32_t index = call.request.priority_level;
     const auto attempt = static_cast<std::uint32_t>(call.attempts.size());
-    const std::optional<Micros> write_by = ledger_.WriteBy(call);
-    call.attempts.push_back({server.info.id, now, server.info.zone, server.info.cell, true, false});
-    outs_[std::pair(call.request.id, attempt)] = index;
+    const std::optional<Micros> write_by = calls_.WriteBy(call);
+    call.attempts.push_back({target.info.id, now, target.info.zone, target.info.cell, true, false});
+    attempt_levels_[std::pair(call.request.id, attempt)] = index;
     ++levels_[index].in_flight;
     const Micros left = call.request.due - now;
     const Micros aim = settings_.classes[index].aim;
-    fleet_.NoteSent(server, {call.request.id, attempt, now, aim, left, index}, now);
+    fleet_.NoteSent(target, {call.request.id, attempt, now, aim, left, index}, now);
     fleet_.NoteInFlight(static_cast<std::size_t>(InFlight()));
-    actions_.Send(call.request.id, server.info.id, left, write_by);
+    actions_.Send(call.request.id, target.info.id, left, write_by);
   }
 
-  void Settle(Micros now) {
-    PumpAll(now);
-    SetWireTimer();
+  void DispatchAndUpdateTimer(Micros now) {
+    DispatchAll(now);
+    UpdateTimer();
   }
-  void PumpAll(Micros now) {
-    for (std::uint32_t i = 0; i < levels_.size(); ++i) Pump(i, now);
+  void DispatchAll(Micros now) {
+    for (std::uint32_t i = 0; i < levels_.size(); ++i) Dispatch(i, now);
   }
 
-  // While the pool has a seat, one request from each non-empty queue in turn. Tenants within their
-  // share go first; what is beyond a share takes only spare seats, and so does a retry so late that
-  // it cannot win. Harm: where answer times spread widely, some of those would have come in time.
-  void Pump(std::uint32_t index, Micros now) {
+  // While below the limit, sends one request from each non-empty queue in turn: tenants within
+  // their share first; those over it, and requests with less time than an answer typically takes,
+  // only in spare capacity. Trade-off: where answer times vary widely, some of these would succeed.
+  void Dispatch(std::uint32_t index, Micros now) {
     Level& level = levels_[index];
     while (level.queues.size() > 0) {
-      const double seats = Seats(index, now);
-      const double taken = static_cast<double>(level.in_flight) + 1.0;
-      if (taken > std::max(1.0, seats)) return;
-      if (seats < 1.0 && now < level.rest_until) {
-        ArmPump(level.rest_until);
+      const double limit = LevelLimit(index, now);
+      const double in_flight = static_cast<double>(level.in_flight) + 1.0;
+      if (in_flight > std::max(1.0, limit)) return;
+      if (limit < 1.0 && now < level.paused_until) {
+        ArmDispatch(level.paused_until);
         return;
       }
       std::optional<QueuedRequest> w = level.queues.Next([&](const QueuedRequest& x) {
-        return shares_.Within(x.flow, now) &&
+        return tenant_shares_.HasBudget(x.flow, now) &&
                static_cast<double>(x.due - now) >= level.times.typical();
       });
-      if (!w && taken <= kSparePart * level.Openness() * seats)
+      if (!w && in_flight <= kSpareFraction * level.SpareFraction() * limit)
         w = level.queues.Next([](const QueuedRequest&) { return true; });
       if (!w) return;
-      Call* call = ledger_.Find(w->request);
+      Call* call = calls_.Find(w->request);
       if (call == nullptr) continue;
-      Server* server = fleet_.Pick(ledger_, *call, now);
-      if (server == nullptr) {
+      EndpointState* endpoint = fleet_.Pick(calls_, *call, now);
+      if (endpoint == nullptr) {
         level.queues.PutBack(*w);
-        // One look at a time: a due for each that waits would breed dues without end.
-        ArmPump(now + kPumpWait);
+        // One shared timer: a timer per waiting call would set further timers without end.
+        ArmDispatch(now + kDispatchRetryMicros);
         return;
       }
-      shares_.Spend(w->flow, now);
+      tenant_shares_.Spend(w->flow, now);
       call->queued = false;
-      Send(*call, *server, now);
+      Send(*call, *endpoint, now);
     }
   }
 
-  void Handle(const Due& due, Micros now) {
-    if (due.kind == Due::kFollow) return actions_.Follow();
-    if (due.kind == Due::kPump) {
-      pump_armed_ = false;
-      return PumpAll(now);
+  void HandleTimer(const Timer& event, Micros now) {
+    if (event.kind == Timer::kFollow) return actions_.Follow();
+    if (event.kind == Timer::kDispatch) {
+      dispatch_armed_ = false;
+      return DispatchAll(now);
     }
-    const Call* call = ledger_.Find(due.request);
+    const Call* call = calls_.Find(event.request);
     if (call == nullptr) return;
-    if (due.kind == Due::kQueue ? call->queued : !call->streaming) Refuse(due.request, now);
+    if (event.kind == Timer::kQueueTimeout ? call->queued : !call->streaming)
+      Refuse(event.request, now);
   }
 
-  void Arm(Micros at, Due::Kind kind, RequestId request) { dues_.Add(at, {kind, request}); }
-  void ArmPump(Micros at) {
-    if (!pump_armed_) Arm(at, Due::kPump, 0);
-    pump_armed_ = true;
+  void Arm(Micros at, Timer::Kind kind, RequestId request) { timers_.Add(at, {kind, request}); }
+  void ArmDispatch(Micros at) {
+    if (!dispatch_armed_) Arm(at, Timer::kDispatch, 0);
+    dispatch_armed_ = true;
   }
-  void SetWireTimer() {
-    dues_.Arm([&](Micros at) { actions_.SetTimer(at, 0); });
+  void UpdateTimer() {
+    timers_.Arm([&](Micros at) { actions_.SetTimer(at, 0); });
   }
 
   Settings settings_;
   std::uint64_t seed_;
   Actions& actions_;
-  Ledger ledger_;
+  CallTable calls_;
   Fleet fleet_;
-  Shares shares_;
+  TenantShares tenant_shares_;
   Limiter limiter_;
   std::vector<Level> levels_;
   std::vector<DecayingRate> arrivals_;
-  std::map<std::pair<RequestId, std::uint32_t>, std::uint32_t> outs_;  // The level of each attempt.
-  Deadlines<Due> dues_;
-  bool pump_armed_ = false;
-  bool no_quotas_ = false;
+  std::map<std::pair<RequestId, std::uint32_t>, std::uint32_t> attempt_levels_;
+  Deadlines<Timer> timers_;
+  bool dispatch_armed_ = false;
+  bool has_no_quotas_ = false;
   RetryBudget retry_budget_;
-  int follow_failures_ = 0;
+  int discovery_failures_ = 0;
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed, Actions* actions, Micros now)
@@ -370,10 +370,8 @@
 void Balancer::OnOutcome(Micros now, const Outcome& outcome) { impl_->OnOutcome(now, outcome); }
 void Balancer::OnAbandoned(Micros now, RequestId request) { impl_->OnAbandoned(now, request); }
 void Balancer::OnTimer(Micros now, std::uint64_t mark) { impl_->OnTimer(now, mark); }
-void Balancer::RestoreState(Micros now, const LearnedState& state) {
-  impl_->RestoreState(now, state);
-}
-LearnedState Balancer::ExportState(Micros now) const { return impl_->ExportState(now); }
+void Balancer::Restore(Micros now, const LearnedState& state) { impl_->Restore(now, state); }
+LearnedState Balancer::Export(Micros now) const { return impl_->Export(now); }
 std::size_t Balancer::CountAvoided(Micros now) const { return impl_->CountAvoided(now); }
 
 }  // namespace gaugecart
--- a/src/policy/level.h
+++ b/src/policy/level.h
@@ -1,5 +1,5 @@
-// A priority level: a pool of seats and the queues before it. Each flow is dealt a small hand of
-// the queues and joins the shortest; non-empty queues release one call each in turn.
+// A priority level: a concurrency limit and the queues before it. Each flow hashes to a few of the
+// queues and joins the shortest; non-empty queues release one call each in turn.
 #ifndef GAUGECART_POLICY_LEVEL_H_
 #define GAUGECART_POLICY_LEVEL_H_
 
@@ -16,14 +16,13 @@
 
 namespace gaugecart {
 
-constexpr double kCalmEnough = 1.6;  // Slowness at which spare seats are shut and no limit rises...
-constexpr double kCalmTail = 1.05;   // ...where the goal counts the tail: queues show there first.
-// What is taken for calm doubles in some 1,400 answers.
+constexpr double kBaselineSlowness = 1.6;  // Slowness that ends spare capacity and increases...
+constexpr double kBaselineSlownessTail = 1.05;  // ...if the tail counts: queues show there first.
+// The baseline doubles in some 1,400 answers.
 constexpr AnswerTimes::Tuning kAnswerTimesTuning = {0.1, 0.03, 1.0005, 3e6};
-constexpr std::size_t kQueues = 32;  // A level's queues; enough that two hands seldom coincide.
-constexpr std::size_t kHand = 2;     // Queues dealt to a flow: two hands share all once in ~500.
-constexpr std::size_t kQueueCapacity =
-    16;  // QueuedRequest in one queue; the wait cap mostly binds first.
+constexpr std::size_t kQueuesPerLevel = 32;  // Enough that flows seldom share their queues.
+constexpr std::size_t kQueuesPerFlow = 2;    // Two flows share both of them once in ~500.
+constexpr std::size_t kQueueCapacity = 16;   // Requests; the wait limit mostly binds first.
 
 struct QueuedRequest {
   RequestId request;
@@ -33,29 +32,29 @@
 
 class FairQueues {
  public:
-  // Levels with another salt deal other hands.
+  // Levels with different salts map a flow to different queues.
   explicit FairQueues(std::uint64_t salt, std::size_t capacity = kQueueCapacity)
-      : salt_(salt), capacity_(capacity), queues_(kQueues) {}
+      : salt_(salt), capacity_(capacity), queues_(kQueuesPerLevel) {}
 
-  // The hand dealt to a flow: distinct queues by hashing.
-  std::array<std::size_t, kHand> Hand(std::uint64_t flow) const {
-    std::array<std::size_t, kHand> hand{};
+  // The flow's distinct queues, by hashing.
+  std::array<std::size_t, kQueuesPerFlow> QueuesOf(std::uint64_t flow) const {
+    std::array<std::size_t, kQueuesPerFlow> queues{};
     std::uint64_t h = Mix(Mix(flow) ^ salt_);
-    for (std::size_t i = 0; i < kHand; ++i) {
+    for (std::size_t i = 0; i < kQueuesPerFlow; ++i) {
       do {
         h = Mix(h);
-        hand[i] = h % kQueues;
-      } while (std::find(hand.begin(), hand.begin() + i, hand[i]) != hand.begin() + i);
+        queues[i] = h % kQueuesPerLevel;
+      } while (std::find(queues.begin(), queues.begin() + i, queues[i]) != queues.begin() + i);
     }
-    return hand;
+    return queues;
   }
 
-  // Joins the shortest queue of the hand. `excess` tells how far a flow is beyond its share.
+  // Joins the shortest of the flow's queues. `excess` ranks how far a flow is over its share.
   // Returns the request shed to keep the queue's capacity, if any; possibly the new one.
   template <typename Excess>
   std::optional<RequestId> Enqueue(const QueuedRequest& w, const Excess& excess) {
     const auto length = [&](std::size_t q) { return queues_[q].size(); };
-    std::deque<QueuedRequest>& queue = queues_[std::ranges::min(Hand(w.flow), {}, length)];
+    std::deque<QueuedRequest>& queue = queues_[std::ranges::min(QueuesOf(w.flow), {}, length)];
     queue.push_back(w);
     ++size_;
     if (queue.size() <= capacity_) return std::nullopt;
@@ -69,13 +68,13 @@
     return shed;
   }
 
-  // One request from the next non-empty queue in turn, of those whose head `admits` allows.
+  // Takes a request from the next queue in turn whose head `admits` accepts.
   template <typename Admits>
   std::optional<QueuedRequest> Next(const Admits& admits) {
-    for (std::size_t i = 0; i < kQueues && size_ > 0; ++i) {
-      std::deque<QueuedRequest>& queue = queues_[(turn_ + i) % kQueues];
+    for (std::size_t i = 0; i < kQueuesPerLevel && size_ > 0; ++i) {
+      std::deque<QueuedRequest>& queue = queues_[(next_queue_ + i) % kQueuesPerLevel];
       if (queue.empty() || !admits(queue.front())) continue;
-      turn_ = (turn_ + i + 1) % kQueues;
+      next_queue_ = (next_queue_ + i + 1) % kQueuesPerLevel;
       const QueuedRequest w = queue.front();
       queue.pop_front();
       --size_;
@@ -85,12 +84,12 @@
   }
 
   void PutBack(const QueuedRequest& w) {
-    queues_[Hand(w.flow)[0]].push_front(w);
+    queues_[QueuesOf(w.flow)[0]].push_front(w);
     ++size_;
   }
 
   void Remove(RequestId request, std::uint64_t flow) {
-    for (std::size_t q : Hand(flow)) {
+    for (std::size_t q : QueuesOf(flow)) {
       size_ -=
           std::erase_if(queues_[q], [&](const QueuedRequest& w) { return w.request == request; });
     }
@@ -102,27 +101,27 @@
   std::uint64_t salt_;
   std::size_t capacity_;
   std::vector<std::deque<QueuedRequest>> queues_;
-  std::size_t turn_ = 0;
+  std::size_t next_queue_ = 0;
   std::size_t size_ = 0;
 };
 
 struct Level {
   Level(std::uint32_t index, bool tail_counts)
-      : queues(index), calm_enough(tail_counts ? kCalmTail : kCalmEnough) {}
+      : queues(index), max_slowness(tail_counts ? kBaselineSlownessTail : kBaselineSlowness) {}
 
-  // Part of the spare seats that stays open: all while answers come as in calm times, none once
-  // they take twice as long. What is beyond its share yields before anyone else feels the load.
-  double Openness() const {
-    return std::clamp((calm_enough - times.Slowness()) / (calm_enough - 1.0), 0.0, 1.0);
+  // Usable fraction of the spare capacity: 1 at baseline answer times, 0 from max_slowness on.
+  // Tenants over their share yield before others notice the load.
+  double SpareFraction() const {
+    return std::clamp((max_slowness - times.Slowness()) / (max_slowness - 1.0), 0.0, 1.0);
   }
-  bool NearBaseline() const { return times.Slowness() < calm_enough; }
+  bool NearBaseline() const { return times.Slowness() < max_slowness; }
 
   FairQueues queues;
-  double calm_enough;
-  std::size_t in_flight = 0;  // Attempts that hold a seat of this pool.
-  DecayingRate demand;        // Seat-seconds asked for, a second: sets this level's share.
+  double max_slowness;
+  std::size_t in_flight = 0;  // Attempts counted against this level's limit.
+  DecayingRate demand;        // Answer seconds asked for per second; sets this level's share.
   AnswerTimes times{kAnswerTimesTuning};
-  Micros rest_until = 0;  // Less than one seat: it stays empty until then.
+  Micros paused_until = 0;  // With a limit below 1, nothing is sent until then.
 };
 
 }  // namespace gaugecart
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -182,7 +182,7 @@
 }
 
 Lesson Sidecar::Learned() const {
-  const gaugecart::LearnedState learned = balancer_->ExportState(Now());
+  const gaugecart::LearnedState learned = balancer_->Export(Now());
   Lesson lesson{learned.limit, {}};
   for (const auto& s : learned.ejections) {
     lesson.shunned.push_back({NameOf(s.endpoint), s.launched, s.remaining, s.strikes});
@@ -198,7 +198,7 @@
       if (host == s.host) learned.ejections.push_back({id, s.born, s.left, s.strikes});
     }
   }
-  Run([this, learned = std::move(learned)] { balancer_->RestoreState(Now(), learned); });
+  Run([this, learned = std::move(learned)] { balancer_->Restore(Now(), learned); });
 }
 
 void Sidecar::OpenPeers() {
--- a/src/tier/policy/learning.cpp
+++ b/src/tier/policy/learning.cpp
@@ -158,7 +158,7 @@
   const auto ejected = std::count_if(members.begin(), members.end(),
                                      [](const Endpoint* e) { return e->health().ejected(); });
   return static_cast<double>(ejected + 1) >
-         gaugecart::kMaxEjectedFraction * static_cast<double>(members.size());
+         gaugecart::kMaxEjectedPart * static_cast<double>(members.size());
 }
 
 }  // namespace shelflink::policy
--- a/src/validate.h
+++ b/src/validate.h
@@ -1,4 +1,4 @@
-// What the decision module takes for settings; no decision is made here.
+// Validation of the decision module's settings.
 #ifndef GAUGECART_VALIDATE_H_
 #define GAUGECART_VALIDATE_H_
 
@@ -6,7 +6,7 @@
 
 namespace gaugecart {
 
-// Throws std::invalid_argument naming the field if the settings are impossible.
+// Throws std::invalid_argument that names the first invalid field.
 void Validate(const Settings& s);
 
 }  // namespace gaugecart
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -43,15 +43,15 @@
 
 TEST(LearnedState, ALowerLimitIsTakenAHigherOneIsWonAgain) {
   Driver fresh(BasicSettings());
-  const double start = fresh.balancer.ExportState(fresh.now).limit;
+  const double start = fresh.balancer.Export(fresh.now).limit;
   for (const double told : {start * 0.6, start * 3, 0.0}) {
     Driver d(BasicSettings());
-    d.balancer.RestoreState(d.now, {told, {}});
-    EXPECT_DOUBLE_EQ(d.balancer.ExportState(d.now).limit, told > 0 ? std::min(told, start) : start);
+    d.balancer.Restore(d.now, {told, {}});
+    EXPECT_DOUBLE_EQ(d.balancer.Export(d.now).limit, told > 0 ? std::min(told, start) : start);
   }
   Driver d(BasicSettings());
-  d.balancer.RestoreState(d.now, {0.001, {}});
-  EXPECT_GE(d.balancer.ExportState(d.now).limit, 1.0);  // Never so low that it learns nothing.
+  d.balancer.Restore(d.now, {0.001, {}});
+  EXPECT_GE(d.balancer.Export(d.now).limit, 1.0);  // Never so low that it learns nothing.
 }
 
 TEST(LearnedState, AShunnedEndpointStaysShunnedForItsTimeAndNoLonger) {
@@ -59,10 +59,10 @@
   const auto nodes = Nodes(6);
   d.List(nodes);
   const EndpointId bad = nodes[2].id;
-  d.balancer.RestoreState(d.now, {0, {{bad, nodes[2].launched, 2'000'000, 1}}});
+  d.balancer.Restore(d.now, {0, {{bad, nodes[2].launched, 2'000'000, 1}}});
   EXPECT_EQ(d.balancer.CountAvoided(d.now), 1u);
-  ASSERT_EQ(d.balancer.ExportState(d.now).ejections.size(), 1u);
-  EXPECT_EQ(d.balancer.ExportState(d.now).ejections[0].remaining, 2'000'000);
+  ASSERT_EQ(d.balancer.Export(d.now).ejections.size(), 1u);
+  EXPECT_EQ(d.balancer.Export(d.now).ejections[0].remaining, 2'000'000);
   for (RequestId id = 1; id <= 12; ++id) {
     d.Ask(id);
     EXPECT_NE(d.Sends().back().endpoint, bad);
@@ -76,12 +76,12 @@
   Driver d(BasicSettings());
   const auto nodes = Nodes(6);
   d.List(nodes);
-  d.balancer.RestoreState(
+  d.balancer.Restore(
       d.now, {0, {{nodes[0].id, nodes[0].launched + 5, 2'000'000, 1}, {999, 0, 2'000'000, 1}}});
   EXPECT_EQ(d.balancer.CountAvoided(d.now), 0u);
   LearnedState all;
   for (const Endpoint& e : nodes) all.ejections.push_back({e.id, e.launched, 1'000'000'000, 100});
-  d.balancer.RestoreState(d.now, all);
+  d.balancer.Restore(d.now, all);
   EXPECT_EQ(d.balancer.CountAvoided(d.now), 2u);  // Of six.
   d.Advance(d.now + 33'000'000);
   EXPECT_EQ(d.balancer.CountAvoided(d.now), 0u);
--- a/tests/policy/replay.h
+++ b/tests/policy/replay.h
@@ -46,7 +46,7 @@
 
   std::uint64_t Run(int events) {
     for (int i = 0; i < events; ++i) Step();
-    const LearnedState state = balancer_.ExportState(now_);
+    const LearnedState state = balancer_.Export(now_);
     digest_.AddNumber(state.limit);
     for (const LearnedState::Ejection& ejection : state.ejections) digest_.Add(ejection.endpoint);
     return digest_.value();
@@ -229,7 +229,7 @@
     state.limit = 40.0 * draws_.Unit();
     const Endpoint& e = endpoints_[Below(endpoints_.size())];
     state.ejections.push_back({e.id, e.launched, static_cast<Micros>(Below(5'000'000)), 2});
-    balancer_.RestoreState(now_, state);
+    balancer_.Restore(now_, state);
   }
 
   static constexpr Micros kNever = std::numeric_limits<Micros>::max();
