--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -1,4 +1,4 @@
-// One behaviour of the module a test, driven through its interface.
+// Tests of single behaviours of the decision module, through its interface.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace gaugecart::testing {
 namespace {
 
-TEST(Settings, ImpossibleOnesAreRefusedByName) {
+TEST(Settings, InvalidSettingsAreRejectedByName) {
   const auto message = [](auto change) {
     Settings s = BasicSettings();
     change(s);
@@ -39,22 +39,22 @@
   EXPECT_EQ(message([](Settings&) {}), "accepted");
 }
 
-// ---- What an earlier life had learned ----
+// ---- State exported by an earlier balancer ----
 
-TEST(LearnedState, ALowerLimitIsTakenAHigherOneIsWonAgain) {
+TEST(LearnedState, ALowerLimitIsRestoredAndAHigherOneIsNot) {
   Driver fresh(BasicSettings());
   const double start = fresh.balancer.Export(fresh.now).limit;
-  for (const double told : {start * 0.6, start * 3, 0.0}) {
+  for (const double limit : {start * 0.6, start * 3, 0.0}) {
     Driver d(BasicSettings());
-    d.balancer.Restore(d.now, {told, {}});
-    EXPECT_DOUBLE_EQ(d.balancer.Export(d.now).limit, told > 0 ? std::min(told, start) : start);
+    d.balancer.Restore(d.now, {limit, {}});
+    EXPECT_DOUBLE_EQ(d.balancer.Export(d.now).limit, limit > 0 ? std::min(limit, start) : start);
   }
   Driver d(BasicSettings());
   d.balancer.Restore(d.now, {0.001, {}});
-  EXPECT_GE(d.balancer.Export(d.now).limit, 1.0);  // Never so low that it learns nothing.
+  EXPECT_GE(d.balancer.Export(d.now).limit, 1.0);  // Calls must go on, or the limit never recovers.
 }
 
-TEST(LearnedState, AShunnedEndpointStaysShunnedForItsTimeAndNoLonger) {
+TEST(LearnedState, AnEjectionLastsForItsRemainingTimeOnly) {
   Driver d(BasicSettings());
   const auto nodes = Nodes(6);
   d.List(nodes);
@@ -72,7 +72,7 @@
   EXPECT_EQ(d.balancer.CountAvoided(d.now), 0u);
 }
 
-TEST(LearnedState, OfAnotherProcessOrBeyondWhatMayBeShunnedNothingIsTaken) {
+TEST(LearnedState, EjectionsOfAnotherProcessOrAboveTheLimitAreIgnored) {
   Driver d(BasicSettings());
   const auto nodes = Nodes(6);
   d.List(nodes);
@@ -87,7 +87,7 @@
   EXPECT_EQ(d.balancer.CountAvoided(d.now), 0u);
 }
 
-TEST(Path, AQuietBalancerSendsAtOnceAndPassesTheAnswer) {
+TEST(Path, AnIdleBalancerSendsAtOnce) {
   Driver d(BasicSettings());
   d.List(Nodes(5));
   for (RequestId id = 1; id <= 3; ++id) d.Ask(id);
@@ -95,8 +95,9 @@
   EXPECT_EQ(d.recorder.Count(Action::kRefuse), 0u);
 }
 
-// At the limit a request must still get its answer: one that nobody can take in gets none.
-TEST(Path, APoolBeyondItsPartIsRefusedWhereNoMoreCanBeHeld) {
+// At max_pending the embedder must still be able to accept a request and refuse it; one that it
+// cannot accept gets no answer.
+TEST(Path, ALevelAboveItsShareIsRefusedAtMaxPending) {
   Settings s = BasicSettings();
   s.classes = {Class(Repeat::kIdempotent), Class(Repeat::kIdempotent)};
   s.max_pending = 8;
@@ -106,13 +107,13 @@
   EXPECT_EQ(d.recorder.Count(Action::kRefuse), 0u);
   d.Ask(9, 0);
   ASSERT_EQ(d.recorder.Count(Action::kRefuse), 1u);
-  for (RequestId id = 11; id <= 14; ++id) d.Ask(id, 1);  // Its own part stays its own.
+  for (RequestId id = 11; id <= 14; ++id) d.Ask(id, 1);  // The other level keeps its share.
   EXPECT_EQ(d.recorder.Count(Action::kRefuse), 1u);
   d.Ask(15, 1);
   EXPECT_EQ(d.recorder.Count(Action::kRefuse), 2u);
 }
 
-TEST(Path, ARequestOfAnUnknownLevelOrATwiceGivenIdChangesNothing) {
+TEST(Path, AnUnknownLevelOrADuplicateIdIsIgnored) {
   Driver d(BasicSettings());
   d.List(Nodes(3));
   Request r;
@@ -120,7 +121,7 @@
   r.priority_level = 9;
   r.due = d.now + 1'000'000;
   d.balancer.OnRequest(d.now, r);
-  EXPECT_TRUE(d.recorder.all.empty());
+  EXPECT_TRUE(d.recorder.actions.empty());
   d.Ask(1);
   d.Ask(1);
   EXPECT_EQ(d.Sends().size(), 1u);
@@ -136,8 +137,8 @@
   EXPECT_EQ(d.Sends().size(), 0u);
 }
 
-// All were told the same time, and those who heeded it came back together.
-TEST(Path, RefusedTogetherTheyAreNotAdvisedToComeBackTogether) {
+// Refused requests used to get the same advice, and all retried at the same moment.
+TEST(Path, RetryAdviceIsSpread) {
   Settings s = BasicSettings();
   s.may_advise = true;
   s.max_advice = 2'000'000;
@@ -146,19 +147,19 @@
   for (RequestId id = 1; id <= 40; ++id) d.Ask(id);
   d.Advance(d.now + 2'000'000);
   std::vector<Micros> advice;
-  for (const Action& a : d.recorder.all) {
+  for (const Action& a : d.recorder.actions) {
     if (a.kind == Action::kRefuse) advice.push_back(a.span);
   }
   ASSERT_EQ(advice.size(), 40U);
   std::sort(advice.begin(), advice.end());
   const Micros aim = s.classes[0].aim;
-  EXPECT_GE(advice.front(), aim / 4);  // On average half of the aim, as before.
+  EXPECT_GE(advice.front(), aim / 4);  // Half of the aim on average.
   EXPECT_LE(advice.back(), aim / 4 * 3);
   for (std::size_t i = 0; i + 10 < advice.size(); ++i)
     EXPECT_GT(advice[i + 10] - advice[i], aim / 20);
 }
 
-// Seen in a random run: every call that found no endpoint set a timer that set more in turn.
+// In a random run every call that found no endpoint set a timer, which set further ones.
 TEST(Path, CallsThatWaitForAnEndpointShareOneTimer) {
   Settings s = BasicSettings();
   s.classes = {Class(Repeat::kIdempotent), Class(Repeat::kIdempotent)};
@@ -179,16 +180,17 @@
   EXPECT_EQ(d.recorder.Count(Action::kRefuse) + d.recorder.Count(Action::kFail), 1u);
 }
 
-// Seen in sev4234: calls that were lost on the way were waited for until the caller's time was up.
-Settings MayDuplicate(Repeat repeat) {
+// Settings that allow duplicates. In sev4234 lost calls were waited for until the caller's
+// deadline.
+Settings DuplicatingSettings(Repeat repeat) {
   Settings s = BasicSettings();
   s.classes = {Class(repeat, 1'000'000, 4'000'000)};
   s.may_duplicate = true;
   return s;
 }
 
-// Calls answered after 100 ms each, so that the usual answer time is known.
-void AnswerSome(Driver& d, RequestId count) {
+// Answers calls after 100 ms each, so that the typical answer time is known.
+void AnswerCalls(Driver& d, RequestId count) {
   for (RequestId id = 1; id <= count; ++id) {
     d.recorder.Take();
     d.Ask(id);
@@ -200,22 +202,22 @@
   d.recorder.Take();
 }
 
-TEST(Silence, WhatMustNotRunTwiceIsWaitedFor) {
+TEST(Silence, ANonIdempotentCallIsNotDuplicated) {
   for (const Repeat repeat : {Repeat::kAtMostOnce, Repeat::kDeduplicated}) {
-    Driver d(MayDuplicate(repeat));
+    Driver d(DuplicatingSettings(repeat));
     d.List(Nodes(5));
-    AnswerSome(d, 40);
+    AnswerCalls(d, 40);
     d.Ask(100);
     d.Advance(d.now + 3'000'000);
     EXPECT_EQ(d.Sends().size(), 1u);
   }
 }
 
-// Where all have grown slow, copies would only be more load.
+// If all endpoints are slow, duplicates would only add load.
 TEST(Silence, NoCopyIsSentWhenTheWholeLevelIsSlow) {
-  Driver d(MayDuplicate(Repeat::kIdempotent));
+  Driver d(DuplicatingSettings(Repeat::kIdempotent));
   d.List(Nodes(5));
-  AnswerSome(d, 40);
+  AnswerCalls(d, 40);
   for (RequestId id = 100; id < 104; ++id) d.Ask(id);
   const auto sends = d.Sends();
   ASSERT_EQ(sends.size(), 4u);
@@ -227,7 +229,7 @@
   EXPECT_EQ(d.Sends().size(), 4u);
 }
 
-TEST(Ledger, AnAtMostOnceRequestThatMayHaveRunFailsAndIsNotRepeated) {
+TEST(Repeats, AnAtMostOnceRequestThatMayHaveRunFailsAndIsNotRepeated) {
   Settings s = BasicSettings();
   s.classes[0].repeat = Repeat::kAtMostOnce;
   Driver d(s);
@@ -239,7 +241,7 @@
   EXPECT_EQ(d.recorder.Count(Action::kRefuse), 0u);
 }
 
-TEST(Ledger, AnAtMostOnceRequestTurnedAwayUnseenIsTriedElsewhere) {
+TEST(Repeats, ARejectedAtMostOnceRequestIsRetriedElsewhere) {
   Settings s = BasicSettings();
   s.classes[0].repeat = Repeat::kAtMostOnce;
   Driver d(s);
@@ -251,7 +253,7 @@
   EXPECT_NE(d.Sends()[1].endpoint, first);
 }
 
-TEST(Ledger, ADeduplicatedRepeatStaysInItsCellAndWindow) {
+TEST(Repeats, ADeduplicatedRetryStaysInItsCellAndWindow) {
   Settings s = BasicSettings();
   s.classes[0].repeat = Repeat::kDeduplicated;
   s.classes[0].group = DedupGroup::kCell;
@@ -265,13 +267,13 @@
   d.Answer(1, first, OutcomeCode::kReset);
   ASSERT_EQ(d.Sends().size(), 2u);
   EXPECT_EQ(d.Sends()[1].endpoint % 3, first % 3);
-  d.now += 450'000;  // Past what the cell remembers.
+  d.now += 450'000;  // After the deduplication window.
   d.Answer(1, d.Sends()[1].endpoint, OutcomeCode::kReset, 1);
   EXPECT_EQ(d.Sends().size(), 2u);
   EXPECT_EQ(d.recorder.Count(Action::kFail), 1u);
 }
 
-TEST(Ledger, AnsweredRequestsAreForgottenAndLateNewsIsIgnored) {
+TEST(Repeats, EventsOfAnsweredRequestsAreIgnored) {
   Driver d(BasicSettings());
   d.List(Nodes(3));
   d.Ask(1);
@@ -285,7 +287,7 @@
   EXPECT_EQ(d.Sends().size(), 0u);
 }
 
-TEST(Ledger, AnOpenAttemptAtTheDeadlineEndsAsAFailure) {
+TEST(Repeats, AnOpenAttemptAtTheDeadlineEndsAsAFailure) {
   Driver d(BasicSettings());
   d.List(Nodes(3));
   d.Ask(1);
@@ -306,7 +308,7 @@
     EXPECT_TRUE(sent.endpoint == 0 || sent.endpoint == 3) << sent.endpoint;
     d.Answer(id, sent.endpoint, OutcomeCode::kOk);
   }
-  d.List({nodes[0]});  // Absent from a full list: gone as well.
+  d.List({nodes[0]});  // Endpoints missing from a full list are gone as well.
   for (RequestId id = 41; id <= 50; ++id) {
     d.Ask(id);
     EXPECT_EQ(d.Sends().back().endpoint, 0u);
@@ -314,38 +316,38 @@
   }
 }
 
-TEST(Levels, ABurstInOneLevelLeavesTheOthersTheirSeats) {
+TEST(Levels, ABurstInOneLevelLeavesTheOthersTheirLimits) {
   Settings s = BasicSettings();
   s.classes = {Class(Repeat::kIdempotent), Class(Repeat::kIdempotent)};
   Driver d(s);
   d.List(Nodes(10));
   for (RequestId id = 1; id <= 300; ++id) d.Ask(id, 0);
   const std::size_t before = d.Sends().size();
-  EXPECT_LT(before, 300u);  // The burst waits or is refused.
+  EXPECT_LT(before, 300u);  // The rest waits or is refused.
   d.Ask(1000, 1);
   ASSERT_EQ(d.Sends().size(), before + 1);
   EXPECT_EQ(d.Sends().back().request, 1000u);
 }
 
-// While calls wait, the tenants' queues are released in turn: one that floods gains nothing.
-TEST(Levels, ReleaseIsFairOverTenants) {
+// Queues are served in turn: a tenant that floods its own gains nothing.
+TEST(Levels, DequeueingIsFairOverTenants) {
   Settings s = BasicSettings();
   s.tenants = {{40, 0.5}, {40, 0.5}};
   Driver d(s);
   d.List(Nodes(10));
   for (RequestId id = 1; id <= 200; ++id) d.Ask(id, 0, 0);
-  std::vector<Action> out = d.Sends();
+  std::vector<Action> sends = d.Sends();
   for (RequestId id = 1001; id <= 1008; ++id) d.Ask(id, 0, 1);
   d.recorder.Take();
   std::size_t other = 0;
   for (std::size_t i = 0; i < 12; ++i) {
-    d.Answer(out[i].request, out[i].endpoint, OutcomeCode::kOk);
+    d.Answer(sends[i].request, sends[i].endpoint, OutcomeCode::kOk);
   }
-  for (const Action& a : d.Sends()) other += a.request > 1000 ? 1 : 0;
-  EXPECT_GE(other, 5u);
+  for (const Action& a : d.Sends()) other_tenant += a.request > 1000 ? 1 : 0;
+  EXPECT_GE(other_tenant, 5u);
 }
 
-TEST(Levels, WhatIsShedFallsOnTheTenantBeyondItsShare) {
+TEST(Levels, SheddingHitsTheTenantOverItsShare) {
   Settings s = BasicSettings();
   s.tenants = {{10, 0.5}, {10, 0.5}};
   Driver d(s);
@@ -355,43 +357,43 @@
     d.Ask(++id, 0, 0);
     if (i % 40 == 0) d.Ask(++id + 100'000, 0, 1);
   }
-  std::size_t flood = 0;
-  std::size_t modest = 0;
-  for (const Action& a : d.recorder.all) {
-    if (a.kind == Action::kRefuse) (a.request > 100'000 ? modest : flood) += 1;
+  std::size_t over_share = 0;
+  std::size_t within_share = 0;
+  for (const Action& a : d.recorder.actions) {
+    if (a.kind == Action::kRefuse) (a.request > 100'000 ? within_share : over_share) += 1;
   }
-  EXPECT_GT(flood, 100u);
-  EXPECT_EQ(modest, 0u);
+  EXPECT_GT(over_share, 100u);
+  EXPECT_EQ(within_share, 0u);
 }
 
-TEST(Levels, AWaitEndsInRefusalWhileThereIsTimeToTryAgain) {
+TEST(Levels, AQueuedRequestIsRefusedWhileThereIsTimeToRetry) {
   Driver d(BasicSettings());
   d.List(Nodes(2));
   for (RequestId id = 1; id <= 60; ++id) d.Ask(id);
-  d.recorder.all.erase(std::remove_if(d.recorder.all.begin(), d.recorder.all.end(),
-                                      [](const Action& a) { return a.kind != Action::kSend; }),
-                       d.recorder.all.end());
-  const std::size_t out = d.Sends().size();
-  ASSERT_LT(out, 60u);
+  d.recorder.actions.erase(std::remove_if(d.recorder.actions.begin(), d.recorder.actions.end(),
+                                          [](const Action& a) { return a.kind != Action::kSend; }),
+                           d.recorder.actions.end());
+  const std::size_t sent = d.Sends().size();
+  ASSERT_LT(sent, 60u);
   d.Advance(d.now + 1'000'000);  // Half of the give-up time.
   EXPECT_GT(d.recorder.Count(Action::kRefuse), 0u);
-  EXPECT_EQ(d.Sends().size(), out);
+  EXPECT_EQ(d.Sends().size(), sent);
 }
 
-// How many of a hundred calls at once find a seat; all is settled again afterwards.
-std::size_t Admitted(Driver& d, RequestId first) {
+// Number of a hundred simultaneous calls that are sent at once; all are ended again afterwards.
+std::size_t CountAdmitted(Driver& d, RequestId first) {
   d.recorder.Take();
   for (RequestId id = first; id < first + 100; ++id) d.Ask(id);
-  const std::size_t seats = d.Sends().size();
+  const std::size_t admitted = d.Sends().size();
   for (RequestId id = first; id < first + 100; ++id) d.balancer.OnAbandoned(d.now, id);
   for (const Action& a : d.Sends()) {
     d.Answer(a.request, a.endpoint, OutcomeCode::kCancelled, a.attempt, 0, true);
   }
   d.recorder.Take();
-  return seats;
+  return admitted;
 }
 
-TEST(Window, TheRepeatIsToldUntilWhenItMayBeWritten) {
+TEST(Window, ARetryCarriesItsWriteDeadline) {
   Settings s = BasicSettings();
   s.classes = {Class(Repeat::kDeduplicated)};
   Driver d(s);
@@ -407,13 +409,13 @@
   EXPECT_EQ(d.recorder.write_by, sent + s.classes[0].dedup_window - s.round);
 }
 
-// The learned limit falls on time-outs and comes back with prompt answers.
+// The limit falls on timeouts and recovers with prompt answers.
 TEST(Limiter, FallsUnderTimeoutsAndRecovers) {
   Settings s = BasicSettings();
   s.tenants = {{60, 1.0}};
   Driver d(s);
   d.List(Nodes(20));
-  const std::size_t at_first = Admitted(d, 1'000);
+  const std::size_t before = CountAdmitted(d, 1'000);
   RequestId id = 10'000;
   for (int round = 0; round < 30; ++round) {
     d.recorder.Take();
@@ -421,13 +423,13 @@
     d.now += 100'000;
     while (!d.Sends().empty()) {
       const Action a = d.Sends().front();
-      std::erase(d.recorder.all, a);
+      std::erase(d.recorder.actions, a);
       d.Answer(a.request, a.endpoint, OutcomeCode::kTimeout, a.attempt, 100'000, true);
     }
   }
-  const std::size_t fallen = Admitted(d, 50'000);
-  EXPECT_LT(fallen, at_first / 2);
-  EXPECT_GE(fallen, 1u);  // Never so low that it learns nothing more.
+  const std::size_t reduced = CountAdmitted(d, 50'000);
+  EXPECT_LT(reduced, before / 2);
+  EXPECT_GE(reduced, 1u);  // Calls must go on, or the limit never recovers.
   for (int round = 0; round < 200; ++round) {
     d.recorder.Take();
     for (int i = 0; i < 40; ++i) d.Ask(++id);
@@ -441,10 +443,10 @@
       d.Answer(a.request, a.endpoint, OutcomeCode::kOk, a.attempt, 20'000, true);
     }
   }
-  EXPECT_GE(Admitted(d, 900'000), at_first);
+  EXPECT_GE(CountAdmitted(d, 900'000), before);
 }
 
-// Found in the incident ifa8f69: a cut for every flight that held one late answer starved busy
+// In incident ifa8f69 the limit was cut whenever any call in flight was late. That starved busy
 // balancers, as among fifty calls one is nearly always late. One in twenty must not lower the
 // limit.
 TEST(Limiter, AFewLateAnswersAmongManyDoNotStarveABusyBalancer) {
@@ -452,7 +454,7 @@
   s.tenants = {{1'000, 1.0}};
   Driver d(s);
   d.List(Nodes(40));
-  const std::size_t at_first = Admitted(d, 1'000);
+  const std::size_t before = CountAdmitted(d, 1'000);
   RequestId id = 10'000;
   for (int round = 0; round < 60; ++round) {
     d.recorder.Take();
@@ -461,23 +463,24 @@
     int answered = 0;
     while (!d.Sends().empty()) {
       const Action a = d.Sends().front();
-      std::erase(d.recorder.all, a);
+      std::erase(d.recorder.actions, a);
       const bool late = ++answered % 20 == 0;
       d.Answer(a.request, a.endpoint, OutcomeCode::kOk, a.attempt, late ? 600'000 : 200'000);
     }
   }
-  EXPECT_GE(Admitted(d, 900'000), std::min<std::size_t>(at_first, 60));
+  EXPECT_GE(CountAdmitted(d, 900'000), std::min<std::size_t>(before, 60));
 }
 
-// Found on a deployment that states no quotas: a fifth of what came on calm days was refused, for
-// the first limit knew nothing but the number of classes.
-TEST(Limiter, StartsFromWhatComesWhereNoQuotasTellIt) {
+// Without quotas the initial limit depended only on the number of classes, and a deployment refused
+// a fifth of its normal load.
+TEST(Limiter, StartsFromTheDemandWithoutQuotas) {
   Driver d(BasicSettings());
   d.List(Nodes(40));
   RequestId id = 10'000;
   std::size_t refused = 0;
   std::map<Micros, Action> due;
-  for (Micros at = 0; at < 10'000'000; at += 10'000) {  // 100 a second; answers take 200 ms.
+  for (Micros at = 0; at < 10'000'000;
+       at += 10'000) {  // 100 calls per second; answers take 200 ms.
     d.Advance(1'000'000'000 + at);
     while (!due.empty() && due.begin()->first <= d.now) {
       const Action a = due.begin()->second;
@@ -485,23 +488,23 @@
       d.Answer(a.request, a.endpoint, OutcomeCode::kOk, a.attempt, 200'000);
     }
     d.Ask(++id);
-    for (const Action& a : d.recorder.all) {
+    for (const Action& a : d.recorder.actions) {
       if (a.kind == Action::kSend)
         due.emplace(d.now + 200'000 + static_cast<Micros>(due.size()), a);
       if (a.kind == Action::kRefuse && at > 1'000'000) ++refused;
     }
-    d.recorder.all.clear();
+    d.recorder.actions.clear();
   }
   EXPECT_EQ(refused, 0u);
 }
 
-// Found in the incident i943108: eighty balancers with two calls a second each kept eight seats
-// each while answers took four times as long; what was unused must go with the first slow answers.
-TEST(Limiter, SeatsThatNothingUsesAreGivenUpOnceAnswersAreSlow) {
+// In incident i943108 eighty balancers with two calls a second each kept limits of eight while
+// answers took four times as long. The unused part of a limit must go with the first slow answers.
+TEST(Limiter, DropsItsUnusedPartOnceAnswersAreSlow) {
   Driver d(BasicSettings());
   d.List(Nodes(10));
   RequestId id = 10'000;
-  const auto one_by_one = [&](int count, Micros rtt) {
+  const auto answer_one_by_one = [&](int count, Micros rtt) {
     for (int i = 0; i < count; ++i) {
       d.recorder.Take();
       d.Ask(++id);
@@ -512,19 +515,19 @@
       d.now += 300'000;
     }
   };
-  one_by_one(20, 100'000);
-  const std::size_t calm = Admitted(d, 1'000);
-  EXPECT_GE(calm, 4u);
-  one_by_one(4, 450'000);
-  one_by_one(2, 600'000);
-  EXPECT_LE(Admitted(d, 2'000), 2u);
-  one_by_one(40, 100'000);
-  EXPECT_GE(Admitted(d, 3'000), 2u);  // And back, as far as it is used.
-}
-
-// Seen on days on which one tenant's clients give a try less time than an answer takes: half of
-// the sends ended in time-outs while those who would have waited were refused.
-TEST(Levels, ACallWithoutAFairChanceTakesOnlySpareSeats) {
+  answer_one_by_one(20, 100'000);
+  const std::size_t at_baseline = CountAdmitted(d, 1'000);
+  EXPECT_GE(at_baseline, 4u);
+  answer_one_by_one(4, 450'000);
+  answer_one_by_one(2, 600'000);
+  EXPECT_LE(CountAdmitted(d, 2'000), 2u);
+  answer_one_by_one(40, 100'000);
+  EXPECT_GE(CountAdmitted(d, 3'000), 2u);  // Recovers as far as it is used.
+}
+
+// One tenant's clients gave a call less time than an answer takes: half of the sends timed out,
+// while calls that could have waited were refused.
+TEST(Levels, ACallWithTooLittleTimeUsesOnlySpareCapacity) {
   Driver d(BasicSettings());
   d.List(Nodes(10));
   RequestId id = 100;
@@ -538,7 +541,7 @@
   };
   answers(20, 100'000);
   d.recorder.Take();
-  d.Ask(1, 0, {}, 90'000);  // Calm: worth a try.
+  d.Ask(1, 0, {}, 90'000);  // Near the baseline it is still sent.
   EXPECT_EQ(d.Sends().size(), 1u);
   d.Answer(1, d.Sends()[0].endpoint, OutcomeCode::kOk, 0, 80'000);
   answers(12, 400'000);
@@ -546,25 +549,25 @@
   d.Ask(2, 0, {}, 150'000);
   EXPECT_EQ(d.Sends().size(), 0u);
   d.Advance(d.now + 5'000);
-  EXPECT_EQ(d.recorder.Count(Action::kRefuse), 1u);  // At once: waiting wins nothing.
+  EXPECT_EQ(d.recorder.Count(Action::kRefuse), 1u);  // At once, as waiting cannot help.
   d.Ask(3);
   EXPECT_EQ(d.Sends().size(), 1u);
 }
 
-// Found in the limit's log on sapporo-search: calm was the least of a noisy average, 85 ms where
-// answers took 380, so that no level ever looked calm and no limit ever rose again.
-TEST(Limiter, RisesAgainUnderAnswersOfVeryUnequalLength) {
+// On sapporo-search the baseline was the minimum of a noisy average, 85 ms where answers took 380
+// ms: no level ever looked near its baseline and no limit rose again.
+TEST(Limiter, RisesWithWidelyVaryingAnswerTimes) {
   Driver d(BasicSettings());
   d.List(Nodes(40));
   RequestId id = 10'000;
-  const auto flights = [&](int count) {
+  const auto run_batches = [&](int count) {
     for (int round = 0; round < count; ++round) {
       d.recorder.Take();
       for (int i = 0; i < 60; ++i) d.Ask(++id);
       const std::vector<Action> sends = d.Sends();
       d.now += 100'000;
       for (const Action& a : sends) {
-        // Mostly short, now and then long: 39 ms on average.
+        // Mostly short, sometimes long: 39 ms on average.
         const Micros rtt = Scramble(a.request) % 8 == 0 ? 240'000 : 10'000;
         d.Answer(a.request, a.endpoint, OutcomeCode::kOk, 0, rtt);
       }
@@ -574,19 +577,19 @@
       }
     }
   };
-  const std::size_t at_first = Admitted(d, 1'000);
-  flights(8);
-  const std::size_t later = Admitted(d, 900'000);
-  EXPECT_GT(later, at_first + 6);  // 12 of 4; it was 9.
+  const std::size_t before = CountAdmitted(d, 1'000);
+  run_batches(8);
+  const std::size_t later = CountAdmitted(d, 900'000);
+  EXPECT_GT(later, before + 6);  // 12 from 4; 9 with the fault.
 }
 
-// Found on overloaded days where calm answers take a sixth of the aim: the limit rose on answers
-// that were prompt by the aim yet waited in long queues.
-TEST(Limiter, DoesNotRiseWhileAnswersTakeMuchLongerThanInCalmTimes) {
+// With baseline answer times of a sixth of the aim, the limit rose on answers that were prompt by
+// the aim although they had waited in long queues.
+TEST(Limiter, DoesNotRiseFarAboveTheBaselineAnswerTime) {
   Driver d(BasicSettings());
   d.List(Nodes(40));
   RequestId id = 10'000;
-  const auto flights = [&](int count, Micros rtt) {
+  const auto run_batches = [&](int count, Micros rtt) {
     for (int round = 0; round < count; ++round) {
       d.recorder.Take();
       for (int i = 0; i < 40; ++i) d.Ask(++id);
@@ -599,33 +602,33 @@
       }
     }
   };
-  const auto admitted = [&] {
+  const auto count_admitted = [&] {
     d.recorder.Take();
     for (int i = 0; i < 100; ++i) d.Ask(++id);
-    const std::size_t seats = d.Sends().size();
+    const std::size_t admitted = d.Sends().size();
     for (RequestId done = id - 100; done <= id; ++done) d.balancer.OnAbandoned(d.now, done);
     for (const Action& a : d.Sends()) {
       d.Answer(a.request, a.endpoint, OutcomeCode::kCancelled, a.attempt, 0, true);
     }
-    return seats;
+    return admitted;
   };
-  flights(4, 20'000);
-  flights(3, 150'000);  // Slower than twice the calm time from here on, yet prompt by the aim.
-  const std::size_t before = admitted();
-  flights(20, 150'000);
-  EXPECT_LE(admitted(), before + 1);
+  run_batches(4, 20'000);
+  run_batches(3, 150'000);  // More than twice the baseline, yet prompt by the aim.
+  const std::size_t before = count_admitted();
+  run_batches(20, 150'000);
+  EXPECT_LE(count_admitted(), before + 1);
 }
 
-// Seen on a day of shared slowness: the limit fell from 95 to 6 in five seconds and then won back
-// one seat a second, as answers never again looked as calm as they had on empty servers.
-TEST(Limiter, FarBelowItsStartItRecoversQuicklyThoughAnswersAreNotAtTheirCalmest) {
+// During a shared slowdown the limit fell from 95 to 6 in five seconds and then recovered by one
+// per second, as answer times never returned to those of idle servers.
+TEST(Limiter, RecoversQuicklyFarBelowItsStart) {
   Settings s = BasicSettings();
-  s.tenants = {{240, 1.0}};  // The first limit is 30.
+  s.tenants = {{240, 1.0}};  // The initial limit is 30.
   Driver d(s);
   d.List(Nodes(40));
   RequestId id = 10'000;
-  // Each flight asks for far more than the limit allows.
-  const auto flight = [&](OutcomeCode code, Micros rtt) {
+  // Each batch asks for far more than the limit allows.
+  const auto run_batch = [&](OutcomeCode code, Micros rtt) {
     d.recorder.Take();
     for (int i = 0; i < 60; ++i) d.Ask(++id);
     const std::vector<Action> sends = d.Sends();
@@ -634,21 +637,21 @@
     for (const Action& a : sends) d.Answer(a.request, a.endpoint, code, a.attempt, rtt, true);
     return sends.size();
   };
-  for (int i = 0; i < 4; ++i) flight(OutcomeCode::kOk, 20'000);
-  const std::size_t first = flight(OutcomeCode::kOk, 20'000);
+  for (int i = 0; i < 4; ++i) run_batch(OutcomeCode::kOk, 20'000);
+  const std::size_t first = run_batch(OutcomeCode::kOk, 20'000);
   ASSERT_GE(first, 20u);
-  for (int i = 0; i < 40; ++i) flight(OutcomeCode::kTimeout, 100'000);
-  ASSERT_LE(flight(OutcomeCode::kOk, 100'000), 5u);
-  // Prompt by the aim, though five times what they took at first.
-  for (int i = 0; i < 15; ++i) flight(OutcomeCode::kOk, 100'000);
-  const std::size_t back = flight(OutcomeCode::kOk, 100'000);
-  EXPECT_GE(back, 10u);
-  EXPECT_LT(back, first);  // All the way only with calm answers.
-}
-
-// What must not run twice is lost by one failure. It keeps away from an endpoint that has just
-// failed until calls that may be repeated have shown that it answers again.
-TEST(Health, UnsafeCallsLeaveAnEndpointThatHasFailedToRepeatableOnes) {
+  for (int i = 0; i < 40; ++i) run_batch(OutcomeCode::kTimeout, 100'000);
+  ASSERT_LE(run_batch(OutcomeCode::kOk, 100'000), 5u);
+  // Prompt by the aim, though five times the first answer times.
+  for (int i = 0; i < 15; ++i) run_batch(OutcomeCode::kOk, 100'000);
+  const std::size_t recovered = run_batch(OutcomeCode::kOk, 100'000);
+  EXPECT_GE(recovered, 10u);
+  EXPECT_LT(recovered, first);  // Full recovery needs baseline answer times.
+}
+
+// One failure loses an at-most-once call. Such calls avoid an endpoint that has just failed until
+// repeatable calls have shown that it answers again.
+TEST(Health, AtMostOnceCallsAvoidAnEndpointThatHasFailed) {
   Settings s = BasicSettings();
   s.classes = {Class(Repeat::kIdempotent), Class(Repeat::kAtMostOnce)};
   Driver d(s);
@@ -670,11 +673,11 @@
   EXPECT_GE(tested, 5);
 }
 
-TEST(Health, AnEndpointThatKeepsFailingIsSkippedAndComesBack) {
+TEST(Health, AFailingEndpointIsEjectedAndReadmitted) {
   Driver d(BasicSettings());
   d.List(Nodes(6));
   constexpr RequestId kMany = 200;
-  std::size_t late_to_bad = 0;
+  std::size_t late_sends_to_bad = 0;
   EndpointId bad = ~0U;
   for (RequestId id = 1; id <= kMany; ++id) {
     d.recorder.Take();
@@ -682,25 +685,25 @@
     ASSERT_FALSE(d.Sends().empty());
     const EndpointId e = d.Sends()[0].endpoint;
     if (bad == ~0U) bad = e;
-    if (e == bad && id > kMany / 2) ++late_to_bad;
+    if (e == bad && id > kMany / 2) ++late_sends_to_bad;
     d.Answer(id, e, e == bad ? OutcomeCode::kError : OutcomeCode::kOk, 0, 10'000, true);
     d.now += 5'000;
   }
-  EXPECT_LE(late_to_bad, 2u);
-  std::size_t back = 0;
-  for (RequestId id = 1'000; id < 1'400; ++id) {  // It has mended.
+  EXPECT_LE(late_sends_to_bad, 2u);
+  std::size_t sends_after_repair = 0;
+  for (RequestId id = 1'000; id < 1'400; ++id) {  // The endpoint is repaired.
     d.recorder.Take();
     d.Ask(id);
     const EndpointId e = d.Sends()[0].endpoint;
-    back += e == bad ? 1 : 0;
+    sends_after_repair += e == bad ? 1 : 0;
     d.Answer(id, e, OutcomeCode::kOk);
     d.now += 100'000;
   }
-  EXPECT_GT(back, 20u);
+  EXPECT_GT(sends_after_repair, 20u);
 }
 
-// A try that had less time than answers take ends badly at the healthiest endpoint.
-TEST(Health, WhatHadNoTimeIsNotLaidAtTheEndpointsDoor) {
+// A call with less time than an answer takes fails at the healthiest endpoint.
+TEST(Health, FailuresOfCallsWithTooLittleTimeDoNotCount) {
   for (const OutcomeCode code : {OutcomeCode::kTimeout, OutcomeCode::kError}) {
     Driver d(BasicSettings());
     d.List(Nodes(3));
@@ -708,13 +711,13 @@
     std::map<EndpointId, int> calls;
     for (int i = 0; i < 300; ++i) {
       d.recorder.Take();
-      const bool hasty = i > 60 && i % 2 == 0;
-      d.Ask(++id, 0, {}, hasty ? 60'000 : 0);
+      const bool short_timeout = i > 60 && i % 2 == 0;
+      d.Ask(++id, 0, {}, short_timeout ? 60'000 : 0);
       ASSERT_EQ(d.Sends().size(), 1u);
       const EndpointId e = d.Sends()[0].endpoint;
       d.now += 60'000;
-      // Whatever hurries goes wrong at one endpoint only.
-      const bool bad = hasty && e == 0;
+      // Only calls with the short timeout fail, and at one endpoint only.
+      const bool bad = short_timeout && e == 0;
       d.Answer(id, e, bad ? code : OutcomeCode::kOk, 0, 60'000, true);
       if (i > 150) ++calls[e];
     }
@@ -722,8 +725,8 @@
   }
 }
 
-// A server that turns calls away at once always holds the fewest and would draw them all.
-TEST(Health, AFullEndpointDoesNotDrawTheCallsItTurnsAway) {
+// An endpoint that rejects calls at once has the fewest in flight and would attract them all.
+TEST(Health, ARejectingEndpointDoesNotAttractCalls) {
   for (const OutcomeCode code : {OutcomeCode::kFull, OutcomeCode::kConnectFailed}) {
     Driver d(BasicSettings());
     d.List(Nodes(3));
@@ -760,8 +763,8 @@
   }
 }
 
-// Seen on a day of slow handshakes: endpoints whose new connections failed were rested as a whole,
-// and all calls fell on the one that could still be connected to.
+// With slow handshakes, endpoints whose new connections failed were avoided altogether, and all
+// calls fell on the one that still accepted connections.
 TEST(Health, OpenConnectionsStillCarryCallsWhenNewOnesFail) {
   Settings s = BasicSettings();
   s.tenants = {{400, 1.0}};
@@ -796,7 +799,7 @@
     }
     d.Ask(++id);
     for (const Action& a : d.Sends()) {
-      // Endpoints 0 and 1 have eight connections each and will have no more of them.
+      // Endpoints 0 and 1 accept eight connections each and refuse more.
       const bool connected = a.endpoint == 2 || step < 40 || in_use[a.endpoint] < 8;
       if (connected) ++in_use[a.endpoint];
       due.push_back({d.now + (connected ? 400'000 : 150'000), a, connected, tries[a.request]++});
@@ -808,9 +811,9 @@
   EXPECT_LT(failed, 50);
 }
 
-// Found in the incident if54a87: endpoints that answered one class and swallowed the other looked
-// sound, and each call they held pinned a seat until its time was up.
-TEST(Health, AnEndpointThatSwallowsOneClassIsPassedOverForThatClassAlone) {
+// In incident if54a87 endpoints that answered one class and never the other looked healthy, and
+// each unanswered call used up the limit until its timeout.
+TEST(Health, AnEndpointThatNeverAnswersOneClassIsAvoidedForThatClassOnly) {
   Settings s = BasicSettings();
   s.tenants = {{400, 1.0}};
   s.classes = {Class(Repeat::kIdempotent), Class(Repeat::kAtMostOnce)};
@@ -819,11 +822,11 @@
   struct Due {
     Micros at;
     Action send;
-    bool swallowed;
+    bool unanswered;
   };
   std::vector<Due> due;
-  std::map<EndpointId, int> first;   // Calls of the first class by endpoint, from the tenth second,
-  std::map<EndpointId, int> second;  // and of the second.
+  std::map<EndpointId, int> first_calls;   // By endpoint, after the tenth second.
+  std::map<EndpointId, int> second_calls;  // The same for the second class.
   std::size_t refused = 0;
   RequestId id = 0;
   for (int step = 0; step < 3'000; ++step) {
@@ -835,31 +838,32 @@
     });
     for (const Due& x : ready) {
       d.Answer(x.send.request, x.send.endpoint,
-               x.swallowed ? OutcomeCode::kTimeout : OutcomeCode::kOk, 0,
-               x.swallowed ? 2'000'000 : 50'000);
+               x.unanswered ? OutcomeCode::kTimeout : OutcomeCode::kOk, 0,
+               x.unanswered ? 2'000'000 : 50'000);
     }
     ++id;
     d.Ask(2 * id + 1, 0);
     d.Ask(2 * id + 40'001, 0);
     if (step % 4 == 0) d.Ask(2 * id, 1);
     for (const Action& a : d.Sends()) {
-      const bool of_second = a.request % 2 == 0;
-      const bool swallowed = of_second && a.endpoint == 0;
-      due.push_back({d.now + (swallowed ? 2'000'000 : 50'000), a, swallowed});
-      if (step > 1'000) ++(of_second ? second : first)[a.endpoint];
+      const bool second_class = a.request % 2 == 0;
+      const bool unanswered = second_class && a.endpoint == 0;
+      due.push_back({d.now + (unanswered ? 2'000'000 : 50'000), a, unanswered});
+      if (step > 1'000) ++(second_class ? second_calls : first_calls)[a.endpoint];
     }
     if (step > 1'000) refused += d.recorder.Count(Action::kRefuse);
     d.recorder.Take();
   }
-  EXPECT_GT(first[0] * 6, first[1]);  // 410 of 4,000; 89 while health was kept by endpoint only.
-  EXPECT_LT(second[0] * 50, second[1] + second[2]);
-  EXPECT_GE(second[0], 1);  // It is tried again now and then.
+  // 410 of 4,000; 89 with health by endpoint only.
+  EXPECT_GT(first_calls[0] * 6, first_calls[1]);
+  EXPECT_LT(second_calls[0] * 50, second_calls[1] + second_calls[2]);
+  EXPECT_GE(second_calls[0], 1);  // It is probed now and then.
   EXPECT_EQ(refused, 0u);
 }
 
-// A gray server answers everything, only slowly: it gets few calls, not its turn of the rotation,
-// and is not abandoned either.
-TEST(Health, ASlowEndpointGetsFewCallsAndIsNotForgotten) {
+// An endpoint that answers slowly (a gray failure) gets few calls instead of its turn, but still
+// some.
+TEST(Health, ASlowEndpointGetsFewCallsButSome) {
   Driver d(BasicSettings());
   d.List(Nodes(3));
   struct Due {
@@ -892,8 +896,8 @@
   EXPECT_LT(calls[0] * 15, calls[1] + calls[2]);
 }
 
-// What ails every endpoint alike ejects none of them for good: all stay in use.
-TEST(Health, ASharedTroubleEjectsNobodyWholesale) {
+// A fault that all endpoints share ejects none of them for good.
+TEST(Health, ASharedFaultDoesNotEjectAllEndpoints) {
   Driver d(BasicSettings());
   d.List(Nodes(6));
   std::set<EndpointId> used;
@@ -909,7 +913,7 @@
   EXPECT_GE(used.size(), 3u);
 }
 
-TEST(Retries, AreHeldToABudget) {
+TEST(Retries, StayWithinTheBudget) {
   Settings s = BasicSettings();
   s.max_attempts = 6;
   Driver d(s);
@@ -927,10 +931,10 @@
     }
     d.now += 10'000;
   }
-  EXPECT_LE(sends, 200u + 20u);  // Nothing succeeds, so nothing earns further retries.
+  EXPECT_LE(sends, 200u + 20u);  // Without successes no further retries are earned.
 }
 
-TEST(Discovery, FollowsInsideTheTimeGivenAndAgainAfterFailures) {
+TEST(Discovery, FollowsWithinAskWithinAndAgainAfterFailures) {
   Settings s = BasicSettings();
   s.discovery_by_ask = true;
   s.group_size = 10;
--- a/tests/control/door_test.cpp
+++ b/tests/control/door_test.cpp
@@ -41,14 +41,14 @@
 
 TEST(Door, AnswersEachCallAndEndsItsConnection) {
   Scene s;
-  const auto ready = s.AskDoor("GET", "/ready");
+  const auto ready = s.AskControl("GET", "/ready");
   EXPECT_EQ(ready->Status(), 200);
   EXPECT_TRUE(ready->ended);
-  EXPECT_EQ(s.AskDoor("GET", "/ready?now=1")->Status(), 200);
-  EXPECT_EQ(s.AskDoor("GET", "http://h:1/ready")->Status(), 200);
-  EXPECT_EQ(s.AskDoor("GET", "/metrics")->Status(), 200);
-  EXPECT_EQ(s.AskDoor("GET", "/api")->Status(), 404);
-  const auto wrong = s.AskDoor("GET", "/drain");
+  EXPECT_EQ(s.AskControl("GET", "/ready?now=1")->Status(), 200);
+  EXPECT_EQ(s.AskControl("GET", "http://h:1/ready")->Status(), 200);
+  EXPECT_EQ(s.AskControl("GET", "/metrics")->Status(), 200);
+  EXPECT_EQ(s.AskControl("GET", "/api")->Status(), 404);
+  const auto wrong = s.AskControl("GET", "/drain");
   EXPECT_EQ(wrong->Status(), 405);
   EXPECT_TRUE(wrong->Has("Allow: POST\r\n"));
   EXPECT_EQ(s.Open(kDoorAt, "noise\r\n\r\n")->Status(), 400);
@@ -62,7 +62,7 @@
 // What concerns the fleet may take a moment, and whoever asked may have gone by then.
 TEST(Door, CallsOfTheFleetAreAnsweredLaterAndOnlyWhereThereIsAChannelToIt) {
   Scene s;
-  EXPECT_EQ(s.AskDoor("GET", "/fleet")->Status(), 404);
+  EXPECT_EQ(s.AskControl("GET", "/fleet")->Status(), 404);
   control::Orders orders;
   std::vector<std::pair<std::string, std::string>> asked;
   std::vector<control::Orders::Answered> answers;
@@ -96,12 +96,12 @@
 // within a tick, and those that go on saying nothing are gone within 2 s.
 TEST(Door, CallersWithoutAWholeCallKeepNobodyOut) {
   Scene s;
-  std::vector<TalkPtr> holders;
+  std::vector<PeerPtr> holders;
   for (int i = 0; i < 40; ++i) {
     holders.push_back(s.Open(kDoorAt, i % 2 == 0 ? "" : "GET /ready HTTP/1.1\r\nX-Half: "));
     EXPECT_LE(s.door->callers(), control::Door::kPlaces);
     if (i % 5 == 0) {
-      EXPECT_EQ(s.AskDoor("GET", "/ready")->Status(), 200) << i;
+      EXPECT_EQ(s.AskControl("GET", "/ready")->Status(), 200) << i;
     }
   }
   s.Run(seconds(3));
@@ -112,11 +112,11 @@
 // The clients have used up every place of theirs, and more knock: the door has its own.
 TEST(Door, AnswersWhenTheClientsHoldEveryPlace) {
   Scene s(128);
-  std::vector<TalkPtr> crowd;
+  std::vector<PeerPtr> crowd;
   for (int i = 0; i < 200; ++i) crowd.push_back(s.Open(kClientsAt, "GET /api HTTP/1.1\r\n"));
   EXPECT_GT(s.machine.descriptors(), 40u);
-  EXPECT_EQ(s.AskDoor("GET", "/ready")->Status(), 200);
-  EXPECT_EQ(s.AskDoor("POST", "/drain")->Status(), 200);
+  EXPECT_EQ(s.AskControl("GET", "/ready")->Status(), 200);
+  EXPECT_EQ(s.AskControl("POST", "/drain")->Status(), 200);
 }
 
 TEST(Drained, SaysNoAtOnceServesStragglersAndComesBack) {
@@ -125,10 +125,10 @@
   s.at_node.at(0)->Send(Answer("one"));
   s.Run(milliseconds(5));
   EXPECT_TRUE(idle->Has("one"));
-  EXPECT_EQ(s.AskDoor("POST", "/drain")->Status(), 200);
-  EXPECT_EQ(s.AskDoor("POST", "/drain")->Status(), 200);
+  EXPECT_EQ(s.AskControl("POST", "/drain")->Status(), 200);
+  EXPECT_EQ(s.AskControl("POST", "/drain")->Status(), 200);
   EXPECT_EQ(s.Health(), 503);
-  EXPECT_EQ(s.AskDoor("GET", "/ready")->Status(), 503);
+  EXPECT_EQ(s.AskControl("GET", "/ready")->Status(), 503);
   EXPECT_FALSE(idle->ended);
   const auto straggler = s.Open(kClientsAt, Call(2));
   s.at_node.at(0)->Send(Answer("two"));
@@ -139,9 +139,9 @@
   s.Run(milliseconds(600));
   EXPECT_TRUE(idle->ended);
   EXPECT_EQ(s.Health(), 503);
-  EXPECT_EQ(s.AskDoor("POST", "/undrain")->Status(), 200);
+  EXPECT_EQ(s.AskControl("POST", "/undrain")->Status(), 200);
   EXPECT_EQ(s.Health(), 200);
-  EXPECT_EQ(s.AskDoor("GET", "/ready")->Status(), 200);
+  EXPECT_EQ(s.AskControl("GET", "/ready")->Status(), 200);
   const auto after = s.Open(kClientsAt, Call(3));
   s.at_node.at(0)->Send(Answer("three"));
   s.Run(seconds(1));
@@ -155,7 +155,7 @@
   const auto taken = s.Open(kClientsAt, Call(1));
   const auto half = s.Open(kClientsAt, "GET /api HTTP/1.1\r\nX-Half: ");
   const auto silent = s.Open(kClientsAt);
-  s.AskDoor("POST", "/drain");
+  s.AskControl("POST", "/drain");
   s.Run(milliseconds(700));
   EXPECT_TRUE(silent->ended);
   EXPECT_FALSE(half->ended);
@@ -174,12 +174,12 @@
 
 TEST(Drained, SigtermInADrainEndsItAndUndrainIsRefused) {
   Scene s;
-  s.AskDoor("POST", "/drain");
+  s.AskControl("POST", "/drain");
   s.Run(milliseconds(100));
   bool done = false;
   s.sidecar->Leave(false, [&] { done = true; });
-  EXPECT_EQ(s.AskDoor("POST", "/undrain")->Status(), 409);
-  EXPECT_EQ(s.AskDoor("POST", "/drain")->Status(), 200);
+  EXPECT_EQ(s.AskControl("POST", "/undrain")->Status(), 409);
+  EXPECT_EQ(s.AskControl("POST", "/drain")->Status(), 200);
   s.Run(milliseconds(600));
   EXPECT_TRUE(done);
 }
@@ -193,7 +193,7 @@
 
 TEST(Figures, StandAtZeroForEveryClassFromTheStart) {
   Scene s;
-  const auto figures = s.AskDoor("GET", "/metrics");
+  const auto figures = s.AskControl("GET", "/metrics");
   EXPECT_TRUE(figures->Has("Content-Type: text/plain; version=0.0.4"));
   for (const char* group : {"read", "wr\\\"ite"}) {
     for (const char* state : {"answered", "deferred", "errored", "abandoned"}) {
@@ -210,7 +210,7 @@
 TEST(Figures, CountEachEndOnce) {
   Scene s;
   const auto answered = s.Open(kClientsAt, Call(1));
-  EXPECT_TRUE(s.AskDoor("GET", "/metrics")->Has("\napp_current 1\n"));
+  EXPECT_TRUE(s.AskControl("GET", "/metrics")->Has("\napp_current 1\n"));
   s.at_node.at(0)->Send(Answer("one"));
   s.Run(milliseconds(5));
   const auto failed = s.Open(kClientsAt, Call(2, "effect"));
@@ -224,12 +224,12 @@
   const auto refused = s.Open(kClientsAt, Call(4, "effect"));  // Nobody there: never ran.
   s.Run(seconds(3));
   EXPECT_EQ(refused->Status(), 503);
-  const auto figures = s.AskDoor("GET", "/metrics");
+  const auto figures = s.AskControl("GET", "/metrics");
   EXPECT_TRUE(figures->Has(Transactions("read", "answered", 1)));
   EXPECT_TRUE(figures->Has(Transactions("read", "abandoned", 1)));
   EXPECT_TRUE(figures->Has(Transactions("wr\\\"ite", "errored", 1)));
   EXPECT_TRUE(figures->Has(Transactions("wr\\\"ite", "deferred", 1)));
-  EXPECT_TRUE(figures->Has("\napp_sends 3\n")) << figures->got;
+  EXPECT_TRUE(figures->Has("\napp_sends 3\n")) << figures->received;
   EXPECT_TRUE(figures->Has("\napp_current 0\n"));
 }
 
--- a/tests/ending/ending_test.cpp
+++ b/tests/ending/ending_test.cpp
@@ -15,12 +15,12 @@
 
 std::size_t Requests(const Scene& s) {
   return static_cast<std::size_t>(std::count_if(
-      s.at_node.begin(), s.at_node.end(), [](const TalkPtr& talk) { return talk->Has("/api"); }));
+      s.at_node.begin(), s.at_node.end(), [](const PeerPtr& talk) { return talk->Has("/api"); }));
 }
 
 // Discovery says on this connection that the node drains: the other is given up, and nothing goes
 // to the node any more.
-void ExpectHeeded(Scene& s, Talk& told, const Talk& other) {
+void ExpectHeeded(Scene& s, RecordingPeer& told, const RecordingPeer& other) {
   nlohmann::json row = JsonOf(shelflab::MemberRow{"n0", rig::kNodeAt.Text(), "z", "k"});
   row["health"] = "DRAINING";
   told.Send(Answer(nlohmann::json{{"seq", 2}, {"whole", false}, {"hosts", {row}}}.dump()));
@@ -57,7 +57,7 @@
   Scene s(64);
   s.CutDiscovery(true);
   s.Run(seconds(20));  // By then calls have hung and been given up several times.
-  std::vector<TalkPtr> idle;
+  std::vector<PeerPtr> idle;
   for (int i = 0; i < 100; ++i) idle.push_back(s.Open(kClientsAt));
   s.Run(milliseconds(500));
   const std::size_t before = s.at_discovery.size();
@@ -66,7 +66,7 @@
   ASSERT_GT(s.at_discovery.size(), before);
   EXPECT_TRUE(std::any_of(s.at_discovery.begin() + static_cast<std::ptrdiff_t>(before),
                           s.at_discovery.end(),
-                          [](const TalkPtr& talk) { return talk->Has("/catalog/members"); }));
+                          [](const PeerPtr& talk) { return talk->Has("/catalog/members"); }));
   const auto client = s.Open(kClientsAt, Call(1));
   s.Run(milliseconds(200));
   ASSERT_EQ(Requests(s), 1u);
@@ -98,10 +98,10 @@
   ASSERT_EQ(Requests(s), 1u);
   client->Close();
   s.Run(milliseconds(20));
-  const std::string first = s.at_node.at(0)->got;
+  const std::string first = s.at_node.at(0)->received;
   s.at_node.at(0)->Send(Answer("no", "500 Internal Server Error"));
   s.Run(seconds(3));
-  EXPECT_EQ(s.at_node.at(0)->got, first);
+  EXPECT_EQ(s.at_node.at(0)->received, first);
   EXPECT_EQ(Requests(s), 1u);
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// Many balancers that share nothing, seen together: what each does alone must add up.
+// The combined effect of many balancers that share no state.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 namespace gaugecart::testing {
 namespace {
 
-// The first endpoints dealt over the group carry nearly equal numbers of balancers.
-TEST(Subset, FirstChoicesAreDealtEvenlyOverTheGroup) {
+// The first endpoints of all balancers are spread nearly evenly.
+TEST(Subset, FirstEndpointsAreSpreadEvenlyOverTheGroup) {
   constexpr std::uint32_t kGroup = 120;
   constexpr EndpointId kNodes = 30;
   std::map<EndpointId, int> load;
@@ -30,7 +30,7 @@
   }
   ASSERT_EQ(load.size(), kNodes);
   for (const auto& [id, n] : load) {
-    EXPECT_GE(n, 8) << id;  // 12 in the mean.
+    EXPECT_GE(n, 8) << id;  // 12 on average.
     EXPECT_LE(n, 17) << id;
   }
 }
@@ -54,7 +54,7 @@
   EXPECT_GE(used.size(), 6u);
 }
 
-// Crossing zones is priced and gains nothing while the own zone has endpoints to spare.
+// Crossing zones costs and gains nothing while the own zone has unused endpoints.
 TEST(Subset, StartsInTheOwnZone) {
   for (std::uint32_t me = 0; me < 6; ++me) {
     Settings s = BasicSettings();
@@ -75,9 +75,9 @@
   }
 }
 
-// Numbers that come in blocks a zone must still be dealt over the whole zone: by the number's place
-// in the group alone, one block would crowd a third of its zone.
-TEST(Subset, ABlockOfNumbersIsDealtOverItsWholeZone) {
+// Balancer numbers may come in blocks per zone, and a block must spread over its whole zone. By the
+// number's position in the group alone, one block would crowd a third of the zone.
+TEST(Subset, ABlockOfNumbersIsSpreadOverItsZone) {
   std::map<EndpointId, int> load;
   for (std::uint32_t me = 0; me < 60; ++me) {
     Settings s = BasicSettings();
@@ -93,14 +93,14 @@
   }
   EXPECT_EQ(load.size(), 10u);
   for (const auto& [id, n] : load) {
-    EXPECT_GE(n, 9) << id;  // 18 in the mean.
+    EXPECT_GE(n, 9) << id;  // 18 on average.
     EXPECT_LE(n, 30) << id;
   }
 }
 
-TEST(Subset, InternOrderSwaysNothing) {
-  // The same endpoints under other dense ids, listed in another order: the same words are chosen.
-  const auto words = [](bool swap) {
+TEST(Subset, EndpointIdsDoNotAffectDecisions) {
+  // The same endpoints with other ids, listed in another order: the same names must be chosen.
+  const auto chosen_names = [](bool swap) {
     constexpr EndpointId kNodes = 12;
     Settings s = BasicSettings();
     s.group_size = 7;
@@ -108,12 +108,12 @@
     s.me = 3;
     Driver d(s);
     std::vector<Endpoint> nodes;
-    std::map<EndpointId, EndpointId> word_of;
+    std::map<EndpointId, EndpointId> name_of;
     for (EndpointId i = 0; i < kNodes; ++i) {
-      const EndpointId word = swap ? kNodes - 1 - i : i;
-      Endpoint e = Node(word);
+      const EndpointId name = swap ? kNodes - 1 - i : i;
+      Endpoint e = Node(name);
       e.id = i;
-      word_of[i] = word;
+      name_of[i] = name;
       nodes.push_back(e);
     }
     d.List(nodes);
@@ -122,7 +122,7 @@
       d.recorder.Take();
       d.Ask(id);
       for (const Action& a : d.Sends()) {
-        chosen.push_back(word_of[a.endpoint]);
+        chosen.push_back(name_of[a.endpoint]);
         if (id % 3 == 0) continue;
         d.Answer(id, a.endpoint, id % 5 == 0 ? OutcomeCode::kError : OutcomeCode::kOk, 0, 10'000,
                  true);
@@ -131,13 +131,13 @@
     }
     return chosen;
   };
-  EXPECT_EQ(words(false), words(true));
-  EXPECT_GE(words(false).size(), 20u);
+  EXPECT_EQ(chosen_names(false), chosen_names(true));
+  EXPECT_GE(chosen_names(false).size(), 20u);
 }
 
-TEST(Instances, TogetherOrApartTheyActAlike) {
-  const auto play = [](bool together) {
-    std::vector<std::vector<Action>> acts(2);
+TEST(Instances, InstancesDoNotAffectEachOther) {
+  const auto run = [](bool interleaved) {
+    std::vector<std::vector<Action>> actions(2);
     const auto step = [](Driver& d, RequestId id) {
       d.Ask(id);
       if (!d.Sends().empty() && id % 2 == 0) {
@@ -154,40 +154,40 @@
       d->List(Nodes(9));
       return d;
     };
-    if (together) {
+    if (interleaved) {
       auto a = make(0);
       auto b = make(1);
       for (RequestId id = 1; id <= 80; ++id) {
         step(*a, id);
         step(*b, id);
       }
-      acts = {a->recorder.Take(), b->recorder.Take()};
+      actions = {a->recorder.Take(), b->recorder.Take()};
     } else {
       for (int i = 0; i < 2; ++i) {
         auto d = make(i);
         for (RequestId id = 1; id <= 80; ++id) step(*d, id);
-        acts[i] = d->recorder.Take();
+        actions[i] = d->recorder.Take();
       }
     }
-    return acts;
+    return actions;
   };
-  EXPECT_EQ(play(true), play(false));
+  EXPECT_EQ(run(true), run(false));
 }
 
-struct ColdDay {
+struct ColdStart {
   std::uint32_t group;
   EndpointId warm;
   EndpointId cold;
-  double per_node_per_s;  // What a warm node bears, and by assumption all it can.
+  double per_node_per_s;  // Load and, by assumption, capacity of a warm node.
 };
 
-constexpr Micros kColdStart = 1'000'000'000;
-constexpr Micros kColdBorn = kColdStart + 5'000'000;
-constexpr Micros kColdTold = kColdBorn + 500'000;
+constexpr Micros kRunStart = 1'000'000'000;
+constexpr Micros kLaunchedAt = kRunStart + 5'000'000;
+constexpr Micros kListedAt = kLaunchedAt + 500'000;
 
-Settings ColdSettings(const ColdDay& day) {
+Settings ColdSettings(const ColdStart& start) {
   Settings s = BasicSettings();
-  s.group_size = day.group;
+  s.group_size = start.group;
   s.cold_from = 0.2;
   s.warm_up = 10'000'000;
   s.fall_multiple = 3.0;
@@ -195,159 +195,160 @@
   return s;
 }
 
-// When a whole group sent to each cold endpoint.
-std::map<EndpointId, std::vector<Micros>> ColdSends(const ColdDay& day) {
-  Settings s = ColdSettings(day);
+// Times at which a whole group sent to each warming endpoint.
+std::map<EndpointId, std::vector<Micros>> ColdSends(const ColdStart& start) {
+  Settings s = ColdSettings(start);
   std::vector<std::unique_ptr<Driver>> drivers;
-  for (std::uint32_t i = 0; i < day.group; ++i) {
+  for (std::uint32_t i = 0; i < start.group; ++i) {
     s.me = i;
-    drivers.push_back(std::make_unique<Driver>(s, i + 1, kColdStart));
-    drivers.back()->List(Nodes(day.warm));
+    drivers.push_back(std::make_unique<Driver>(s, i + 1, kRunStart));
+    drivers.back()->List(Nodes(start.warm));
   }
-  std::mt19937_64 rng(day.group * 31 + day.cold);
+  std::mt19937_64 rng(start.group * 31 + start.cold);
   struct Pending {
     Micros at;
-    std::uint32_t who;
+    std::uint32_t balancer;
     RequestId id;
     EndpointId endpoint;
   };
   std::deque<Pending> pending;
   std::map<EndpointId, std::vector<Micros>> sends;
   RequestId id = 0;
-  const double rate = day.per_node_per_s * day.warm / 1e6;  // Arrivals a microsecond.
+  const double rate = start.per_node_per_s * start.warm / 1e6;  // Arrivals per microsecond.
   std::exponential_distribution<> gap(rate);
-  bool told = false;
+  bool listed = false;
   for (double t = 0; t < 15e6; t += gap(rng)) {
-    const Micros now = kColdStart + static_cast<Micros>(t);
-    if (!told && now >= kColdTold) {
-      told = true;
-      std::vector<Endpoint> nodes = Nodes(day.warm);
-      for (EndpointId c = 0; c < day.cold; ++c) nodes.push_back(Node(1'000 + c, kColdBorn));
+    const Micros now = kRunStart + static_cast<Micros>(t);
+    if (!listed && now >= kListedAt) {
+      listed = true;
+      std::vector<Endpoint> nodes = Nodes(start.warm);
+      for (EndpointId c = 0; c < start.cold; ++c) nodes.push_back(Node(1'000 + c, kLaunchedAt));
       for (auto& d : drivers) {
         d->Advance(now);
         d->List(nodes);
       }
     }
-    const auto collect = [&](std::uint32_t who) {
-      for (const Action& a : drivers[who]->Sends()) {
-        pending.push_back({now + 100'000, who, a.request, a.endpoint});
+    const auto collect = [&](std::uint32_t balancer) {
+      for (const Action& a : drivers[balancer]->Sends()) {
+        pending.push_back({now + 100'000, balancer, a.request, a.endpoint});
         if (a.endpoint >= 1'000) sends[a.endpoint].push_back(now);
       }
-      drivers[who]->recorder.Take();
+      drivers[balancer]->recorder.Take();
     };
     while (!pending.empty() && pending.front().at <= now) {
       const Pending p = pending.front();
       pending.pop_front();
-      drivers[p.who]->Advance(now);
-      drivers[p.who]->Answer(p.id, p.endpoint, OutcomeCode::kOk, 0, 100'000);
-      collect(p.who);
+      drivers[p.balancer]->Advance(now);
+      drivers[p.balancer]->Answer(p.id, p.endpoint, OutcomeCode::kOk, 0, 100'000);
+      collect(p.balancer);
     }
-    const auto who = static_cast<std::uint32_t>(rng() % day.group);
-    drivers[who]->Advance(now);
-    drivers[who]->Ask(++id);
-    collect(who);
+    const auto balancer = static_cast<std::uint32_t>(rng() % start.group);
+    drivers[balancer]->Advance(now);
+    drivers[balancer]->Ask(++id);
+    collect(balancer);
   }
   return sends;
 }
 
-// Sends of a whole group to each cold endpoint, over every window of the rule's length.
-void CheckColdBudget(const ColdDay& day) {
-  const Settings s = ColdSettings(day);
+// Checks the sends of a whole group to each warming endpoint over every window of length `fall`.
+void CheckColdBudget(const ColdStart& start) {
+  const Settings s = ColdSettings(start);
   std::size_t total = 0;
-  for (const auto& [node, times] : ColdSends(day)) {
+  for (const auto& [node, times] : ColdSends(start)) {
     total += times.size();
     for (std::size_t i = 0; i < times.size(); ++i) {
       const Micros end = times[i] + s.fall;
       const auto in_window = static_cast<double>(std::upper_bound(times.begin(), times.end(), end) -
                                                  (times.begin() + i));
-      const double part =
-          std::min(1.0, 0.2 + 0.8 * static_cast<double>(times[i] - kColdBorn) / 1e7);
-      const double budget = s.fall_multiple * part * day.per_node_per_s;
-      // Chance: three deviations of a count of this size.
+      const double capacity =
+          std::min(1.0, 0.2 + 0.8 * static_cast<double>(times[i] - kLaunchedAt) / 1e7);
+      const double budget = s.fall_multiple * capacity * start.per_node_per_s;
+      // Allows for chance: three standard deviations.
       EXPECT_LE(in_window, budget + 3.0 * std::sqrt(budget))
-          << node << " at " << times[i] - kColdBorn;
+          << node << " at " << times[i] - kLaunchedAt;
     }
   }
   EXPECT_GT(total, 0u) << "cold endpoints must be put to use as well";
 }
 
-TEST(Cold, AFewAmongManyIsKeptWithinItsBudgetByFewBalancers) { CheckColdBudget({3, 12, 4, 20}); }
-TEST(Cold, SeveralAreKeptWithinTheirBudgetByManyBalancers) { CheckColdBudget({80, 20, 6, 20}); }
-TEST(Cold, MostOfTheFleetIsKeptWithinItsBudget) { CheckColdBudget({30, 10, 25, 20}); }
+TEST(Cold, FewAmongManyStayWithinTheBudgetOfFewBalancers) { CheckColdBudget({3, 12, 4, 20}); }
+TEST(Cold, SeveralStayWithinTheBudgetOfManyBalancers) { CheckColdBudget({80, 20, 6, 20}); }
+TEST(Cold, MostOfTheFleetStaysWithinTheBudget) { CheckColdBudget({30, 10, 25, 20}); }
 
-// Seen on days at size: told by one list of new endpoints, all balancers of a group began to save
-// up for them at the same instant. For seconds these got nothing, then a call of every balancer at
-// once, many times what a cold endpoint can do; it never came back from that.
-TEST(Cold, AHundredBalancersMeetNewEndpointsOneAfterTheOther) {
-  const ColdDay day{100, 20, 12, 10};
+// In large runs all balancers of a group got one list of new endpoints and started to accrue credit
+// for them at the same instant. For seconds these got nothing, then one call from every balancer at
+// once, many times their capacity, from which they never recovered.
+TEST(Cold, AHundredBalancersSpreadTheirFirstCallsToNewEndpoints) {
+  const ColdStart start{100, 20, 12, 10};
   constexpr int kSeconds = 6;
   std::array<int, kSeconds> by_second{};
-  for (const auto& [node, times] : ColdSends(day)) {
+  for (const auto& [node, times] : ColdSends(start)) {
     for (const Micros at : times) {
-      if (const auto second = (at - kColdTold) / 1'000'000; second < kSeconds) ++by_second[second];
+      if (const auto second = (at - kListedAt) / 1'000'000; second < kSeconds) ++by_second[second];
     }
   }
   const int total = std::accumulate(by_second.begin(), by_second.end(), 0);
-  // Even would be a sixth each; cold ones gain capacity meanwhile, and a saved-up call waits for
-  // the rotation to come round.
+  // Evenly each second has a sixth; but capacity grows meanwhile, and a credited call waits for its
+  // turn in the rotation.
   EXPECT_GE((by_second[0] + by_second[1]) * kSeconds, total);
   EXPECT_LE(*std::max_element(by_second.begin(), by_second.end()) * kSeconds, 2 * total);
 }
 
-// Asks once in each gap and answers at once; returns how many went to endpoints from 10 on.
-std::size_t AnswerAtOnce(Driver& d, RequestId& id, Micros span, Micros gap) {
-  std::size_t young = 0;
+// Sends a request per gap, answered at once; returns how many went to endpoints from 10 on.
+std::size_t CountCallsToWarming(Driver& d, RequestId& id, Micros span, Micros gap) {
+  std::size_t warming = 0;
   for (const Micros end = d.now + span; d.now < end;) {
     d.Advance(d.now + gap);
     d.recorder.Take();
     d.Ask(++id);
     for (const Action& a : d.Sends()) {
       d.Answer(a.request, a.endpoint, OutcomeCode::kOk);
-      young += a.endpoint >= 10 ? 1 : 0;
+      warming += a.endpoint >= 10 ? 1 : 0;
     }
   }
-  return young;
+  return warming;
 }
 
-// Seen on days at size: with most endpoints young, what they were not given jammed the warm ones.
-TEST(Cold, AYoungEndpointGetsMostOfWhatTheRuleAllows) {
+// In large runs most endpoints were warming, and the load withheld from them overloaded the warm
+// ones.
+TEST(Cold, AWarmingEndpointGetsMostOfItsBudget) {
   Settings s = BasicSettings();
   s.fall_multiple = 1.0;
   Driver d(s);
   d.List(Nodes(3));
   RequestId id = 0;
-  AnswerAtOnce(d, id, 8'000'000, 12'500);
-  const Micros born = d.now;
+  CountCallsToWarming(d, id, 8'000'000, 12'500);
+  const Micros launched = d.now;
   std::vector<Endpoint> nodes = Nodes(3);
-  nodes.push_back(Node(10, born));
+  nodes.push_back(Node(10, launched));
   d.List(nodes);
-  const auto young = static_cast<double>(AnswerAtOnce(d, id, 4'000'000, 12'500));
-  // 80 a second on three warm ones; of what they bear it can do a fourth at first, more with time.
+  const auto warming = static_cast<double>(CountCallsToWarming(d, id, 4'000'000, 12'500));
+  // 80 per second on three warm ones; it has a fourth of their capacity at first, more with time.
   const double budget = s.fall_multiple * 80.0 / 3 * 4 * (0.25 + 0.75 * 0.2);
-  EXPECT_GE(young, 0.5 * budget);
-  EXPECT_LE(young, budget);
+  EXPECT_GE(warming, 0.5 * budget);
+  EXPECT_LE(warming, budget);
 }
 
-// Seen on days at size: where warm endpoints were jammed and calls refused, what a warm one got
-// fell and with it what young ones were allowed, though these had room. Here a lull does the same.
-TEST(Cold, ALullDoesNotShrinkWhatAYoungEndpointMayGet) {
+// In large runs warm endpoints were overloaded and calls refused: the rate of a warm one fell, and
+// with it the budget of warming ones, which had room. Here a lull has the same effect.
+TEST(Cold, ALullDoesNotShrinkTheBudgetOfAWarmingEndpoint) {
   Settings s = BasicSettings();
   s.warm_up = 40'000'000;
   Driver d(s);
   d.List(Nodes(4));
   RequestId id = 0;
-  AnswerAtOnce(d, id, 10'000'000, 12'500);  // 80 a second, 20 or more to each of the subset.
+  CountCallsToWarming(d, id, 10'000'000, 12'500);  // 80 per second, 20 or more for each member.
   std::vector<Endpoint> nodes = Nodes(4);
   for (EndpointId i = 10; i < 14; ++i) nodes.push_back(Node(i, d.now));
   d.List(nodes);
-  AnswerAtOnce(d, id, 8'000'000, 1'000'000);
-  const std::size_t young = AnswerAtOnce(d, id, 1'000'000, 12'500);
-  EXPECT_GE(young, 30u);
+  CountCallsToWarming(d, id, 8'000'000, 1'000'000);
+  const std::size_t warming = CountCallsToWarming(d, id, 1'000'000, 12'500);
+  EXPECT_GE(warming, 30u);
 }
 
-// A release that replaces every endpoint leaves no warm one to measure by. Their share used to fade
-// with the last of them, and what came was refused until the new ones were warm.
-TEST(Cold, AFleetReplacedAsAWholeGoesOnServing) {
+// After a release that replaces every endpoint no warm one is left to measure by. The warm rate
+// used to decay with the last of them, and calls were refused until the new ones were warm.
+TEST(Cold, AReplacedFleetGoesOnServing) {
   Settings s = BasicSettings();
   Driver d(s);
   d.List(Nodes(4));
@@ -368,10 +369,10 @@
       sent += d.now >= from ? 1 : 0;
     }
   }
-  EXPECT_GE(sent, 18u);  // Half of what came in that time.
+  EXPECT_GE(sent, 18u);  // Half of the requests of that time.
 }
 
-TEST(Cold, AWhollyColdFleetAnswersEveryRequestInTime) {
+TEST(Cold, AFleetOfWarmingEndpointsAnswersEveryRequestInTime) {
   Settings s = BasicSettings();
   Driver d(s);
   std::vector<Endpoint> nodes;
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,4 @@
-// Shared by the tests: recorded actions, settings to start from, and a hand to drive a balancer.
+// Shared by the tests: recorded actions, default settings, and a driver for a balancer.
 #ifndef GAUGECART_TESTS_HARNESS_H_
 #define GAUGECART_TESTS_HARNESS_H_
 
@@ -17,7 +17,7 @@
   Kind kind;
   RequestId request = 0;
   EndpointId endpoint = 0;
-  Micros span = 0;  // Time-out, advice or timer.
+  Micros span = 0;  // Timeout, advice or timer, in microseconds.
   std::uint32_t attempt = 0;
   bool operator==(const Action&) const = default;
 };
@@ -26,31 +26,31 @@
  public:
   void Send(RequestId r, EndpointId e, Micros t, std::optional<Micros> by) override {
     write_by = by;
-    all.push_back({Action::kSend, r, e, t, 0});
+    actions.push_back({Action::kSend, r, e, t, 0});
   }
   void Refuse(RequestId r, Micros advice) override {
-    all.push_back({Action::kRefuse, r, 0, advice, 0});
+    actions.push_back({Action::kRefuse, r, 0, advice, 0});
   }
-  void Fail(RequestId r) override { all.push_back({Action::kFail, r, 0, 0, 0}); }
+  void Fail(RequestId r) override { actions.push_back({Action::kFail, r, 0, 0, 0}); }
   void Cancel(RequestId r, std::uint32_t a) override {
-    all.push_back({Action::kCancel, r, 0, 0, a});
+    actions.push_back({Action::kCancel, r, 0, 0, a});
   }
   void SetTimer(Micros at, std::uint64_t) override {
-    all.push_back({Action::kTimer, 0, 0, at, 0});
+    actions.push_back({Action::kTimer, 0, 0, at, 0});
     timers.insert(at);
   }
-  void Follow() override { all.push_back({Action::kFollow, 0, 0, 0, 0}); }
-  void Refresh() override { all.push_back({Action::kRefresh, 0, 0, 0, 0}); }
+  void Follow() override { actions.push_back({Action::kFollow, 0, 0, 0, 0}); }
+  void Refresh() override { actions.push_back({Action::kRefresh, 0, 0, 0, 0}); }
   void Log(const std::string&) override {}
 
-  std::vector<Action> Take() { return std::exchange(all, {}); }
+  std::vector<Action> Take() { return std::exchange(actions, {}); }
   std::size_t Count(Action::Kind kind) const {
     std::size_t n = 0;
-    for (const Action& a : all) n += a.kind == kind ? 1 : 0;
+    for (const Action& a : actions) n += a.kind == kind ? 1 : 0;
     return n;
   }
 
-  std::vector<Action> all;
+  std::vector<Action> actions;
   std::optional<Micros> write_by;  // Of the latest send.
   std::multiset<Micros> timers;
 };
@@ -93,12 +93,12 @@
 }
 
 inline std::vector<Endpoint> Nodes(EndpointId count) {
-  std::vector<Endpoint> all;
-  for (EndpointId i = 0; i < count; ++i) all.push_back(Node(i));
-  return all;
+  std::vector<Endpoint> nodes;
+  for (EndpointId i = 0; i < count; ++i) nodes.push_back(Node(i));
+  return nodes;
 }
 
-// A balancer under a clock that fires its timers in time.
+// Drives a balancer with a simulated clock that fires its timers.
 class Driver {
  public:
   explicit Driver(const Settings& settings, std::uint64_t seed = 1, Micros start = 1'000'000'000)
@@ -117,12 +117,12 @@
     balancer.OnEndpoints(now, kind, nodes);
   }
   void Ask(RequestId id, std::uint32_t level = 0, std::optional<std::uint32_t> tenant = {},
-           Micros patience = 0) {
+           Micros timeout = 0) {
     Request r;
     r.id = id;
     r.priority_level = level;
     r.tenant = tenant;
-    r.due = now + (patience > 0 ? patience : settings_.classes[level].give_up);
+    r.due = now + (timeout > 0 ? timeout : settings_.classes[level].give_up);
     balancer.OnRequest(now, r);
   }
   void Answer(RequestId id, EndpointId endpoint, OutcomeCode code, std::uint32_t attempt = 0,
@@ -138,7 +138,7 @@
   }
   std::vector<Action> Sends() {
     std::vector<Action> sends;
-    for (const Action& a : recorder.all) {
+    for (const Action& a : recorder.actions) {
       if (a.kind == Action::kSend) sends.push_back(a);
     }
     return sends;
--- a/tests/policy/replay.h
+++ b/tests/policy/replay.h
@@ -1,5 +1,5 @@
-// Random rows of events for gaugecart's decision module, from a seed alone, and a digest of every
-// action that they bring about. Two builds of the module decide alike if their digests are equal.
+// Random event sequences for gaugecart's decision module, generated from a seed, and a digest of
+// every resulting action. Two builds of the module decide alike if their digests are equal.
 #ifndef GAUGECART_TESTS_POLICY_REPLAY_H_
 #define GAUGECART_TESTS_POLICY_REPLAY_H_
 
@@ -14,7 +14,7 @@
 
 namespace gaugecart::testing {
 
-// FNV-1a over whole words.
+// FNV-1a over 64-bit words.
 class Digest {
  public:
   void Add(std::uint64_t word) {
@@ -22,7 +22,7 @@
       value_ = (value_ ^ ((word >> (8 * byte)) & 0xff)) * 0x100000001b3ULL;
     }
   }
-  void AddNumber(double number) {
+  void AddDouble(double number) {
     std::uint64_t word = 0;
     std::memcpy(&word, &number, sizeof word);
     Add(word);
@@ -47,7 +47,7 @@
   std::uint64_t Run(int events) {
     for (int i = 0; i < events; ++i) Step();
     const LearnedState state = balancer_.Export(now_);
-    digest_.AddNumber(state.limit);
+    digest_.AddDouble(state.limit);
     for (const LearnedState::Ejection& ejection : state.ejections) digest_.Add(ejection.endpoint);
     return digest_.value();
   }
@@ -60,8 +60,8 @@
     const bool slow = endpoint % 7 == 3 && phase_ % 2 == 1;
     const auto span = static_cast<Micros>(static_cast<double>(answer_time_) *
                                           (0.4 + 1.2 * draws_.Unit()) * (slow ? 6.0 : 1.0));
-    out_.emplace(now_ + std::min(span, timeout),
-                 Out{request, attempt, endpoint, now_, span >= timeout});
+    in_flight_.emplace(now_ + std::min(span, timeout),
+                       InFlight{request, attempt, endpoint, now_, span >= timeout});
   }
   void Refuse(RequestId request, Micros advice) override { Note(2, request, 0, advice); }
   void Fail(RequestId request) override { Note(3, request, 0, 0); }
@@ -75,7 +75,7 @@
   void Log(const std::string&) override {}
 
  private:
-  struct Out {
+  struct InFlight {
     RequestId request;
     std::uint32_t attempt;
     EndpointId endpoint;
@@ -139,23 +139,23 @@
   }
 
   void Step() {
-    if (Below(400) == 0) ++phase_;  // From calm to trouble and back.
+    if (Below(400) == 0) ++phase_;  // Phases with and without faults alternate.
     const Micros until = now_ + static_cast<Micros>(Below(phase_ % 3 == 2 ? 4'000 : 60'000));
-    Pass(until);
-    const std::uint64_t what = Below(100);
-    if (what < 88) return Ask();
-    if (what < 91) return ChangeList();
-    if (what < 94) return Begin();
-    if (what < 97) return balancer_.OnAbandoned(now_, 1 + Below(last_request_ + 1));
-    if (what < 98) return balancer_.OnDiscoveryFailed(now_);
-    if (what < 99) return Teach();
+    RunUntil(until);
+    const std::uint64_t choice = Below(100);
+    if (choice < 88) return SendRequest();
+    if (choice < 91) return ChangeList();
+    if (choice < 94) return ReceiveFirstByte();
+    if (choice < 97) return balancer_.OnAbandoned(now_, 1 + Below(last_request_ + 1));
+    if (choice < 98) return balancer_.OnDiscoveryFailed(now_);
+    if (choice < 99) return RestoreState();
     digest_.Add(balancer_.CountAvoided(now_));
   }
 
-  // What falls due on the way, in its order: answers and the timer.
-  void Pass(Micros until) {
+  // Delivers the answers and timers due by then, in order of time.
+  void RunUntil(Micros until) {
     for (;;) {
-      const Micros answer = out_.empty() ? until + 1 : out_.begin()->first;
+      const Micros answer = in_flight_.empty() ? until + 1 : in_flight_.begin()->first;
       const Micros next = std::min(answer, timer_);
       if (next > until) break;
       now_ = std::max(now_, next);
@@ -163,25 +163,25 @@
         timer_ = kNever;
         balancer_.OnTimer(now_, 0);
       } else {
-        const Out out = out_.begin()->second;
-        out_.erase(out_.begin());
-        balancer_.OnOutcome(now_, OutcomeOf(out));
+        const InFlight attempt = in_flight_.begin()->second;
+        in_flight_.erase(in_flight_.begin());
+        balancer_.OnOutcome(now_, OutcomeOf(attempt));
       }
     }
     now_ = until;
   }
 
-  gaugecart::Outcome OutcomeOf(const Out& out) {
+  gaugecart::Outcome OutcomeOf(const InFlight& attempt) {
     gaugecart::Outcome o;
-    o.request = out.request;
-    o.attempt = out.attempt;
-    o.endpoint = out.endpoint;
-    o.rtt = now_ - out.sent;
-    const bool sick = out.endpoint % 5 == 1 && phase_ % 4 == 3;
+    o.request = attempt.request;
+    o.attempt = attempt.attempt;
+    o.endpoint = attempt.endpoint;
+    o.rtt = now_ - attempt.sent;
+    const bool failing = attempt.endpoint % 5 == 1 && phase_ % 4 == 3;
     o.code = OutcomeCode::kOk;
-    if (out.timed_out) {
+    if (attempt.timed_out) {
       o.code = OutcomeCode::kTimeout;
-    } else if (Chance(sick ? 0.8 : 0.04)) {
+    } else if (Chance(failing ? 0.8 : 0.04)) {
       o.code = std::array{OutcomeCode::kError,     OutcomeCode::kFull, OutcomeCode::kConnectFailed,
                           OutcomeCode::kReset,     OutcomeCode::kFull, OutcomeCode::kNeverSent,
                           OutcomeCode::kCancelled, OutcomeCode::kError}[Below(8)];
@@ -190,12 +190,12 @@
     return o;
   }
 
-  void Ask() {
+  void SendRequest() {
     Request r;
     r.id = Chance(0.01) && last_request_ > 0 ? last_request_ : ++last_request_;
     r.priority_level = static_cast<std::uint32_t>(Below(settings_.classes.size()));
     if (!settings_.tenants.empty() && Chance(0.9)) {
-      // Few of them ask most.
+      // A few tenants send most requests.
       const double place = draws_.Unit();
       r.tenant =
           static_cast<std::uint32_t>(place * place * static_cast<double>(settings_.tenants.size()));
@@ -206,25 +206,26 @@
   }
 
   void ChangeList() {
-    const std::uint64_t what = Below(6);
-    if (what == 0 && endpoints_.size() < 60) endpoints_.push_back(NewEndpoint());
+    const std::uint64_t choice = Below(6);
+    if (choice == 0 && endpoints_.size() < 60) endpoints_.push_back(NewEndpoint());
     Endpoint& e = endpoints_[Below(endpoints_.size())];
-    if (what == 1) e.launched = now_;
-    if (what == 2) e.availability = Availability::kDraining;
-    if (what == 3) e.availability = Availability::kGone;
-    if (what == 4) e.availability = Availability::kReady;
+    if (choice == 1) e.launched = now_;
+    if (choice == 2) e.availability = Availability::kDraining;
+    if (choice == 3) e.availability = Availability::kGone;
+    if (choice == 4) e.availability = Availability::kReady;
     if (Chance(0.5)) return balancer_.OnEndpoints(now_, ListKind::kChanges, {e});
     balancer_.OnEndpoints(now_, Chance(0.8) ? ListKind::kFull : ListKind::kStale, endpoints_);
   }
 
-  void Begin() {
-    if (out_.empty()) return;
-    const Out& out =
-        std::next(out_.begin(), static_cast<std::ptrdiff_t>(Below(out_.size())))->second;
-    balancer_.OnFirstByte(now_, out.request, out.attempt);
+  void ReceiveFirstByte() {
+    if (in_flight_.empty()) return;
+    const InFlight& attempt =
+        std::next(in_flight_.begin(), static_cast<std::ptrdiff_t>(Below(in_flight_.size())))
+            ->second;
+    balancer_.OnFirstByte(now_, attempt.request, attempt.attempt);
   }
 
-  void Teach() {
+  void RestoreState() {
     LearnedState state;
     state.limit = 40.0 * draws_.Unit();
     const Endpoint& e = endpoints_[Below(endpoints_.size())];
@@ -244,7 +245,7 @@
   RequestId last_request_ = 0;
   EndpointId next_endpoint_ = 0;
   std::vector<Endpoint> endpoints_;
-  std::multimap<Micros, Out> out_;
+  std::multimap<Micros, InFlight> in_flight_;
   std::map<RequestId, int> attempts_;
   Balancer balancer_;
 };
--- a/tests/policy/replay_test.cpp
+++ b/tests/policy/replay_test.cpp
@@ -1,6 +1,6 @@
-// gaugecart's decisions over thousands of random rows of events, against digests that were taken of
-// the module before it was split by concern (src/choice.cpp of commit 930302b). A change that is
-// meant to decide otherwise replaces them, and says so.
+// Compares gaugecart's decisions for thousands of random event sequences with digests recorded
+// before the module was split by concern (src/choice.cpp of commit 930302b). A change that is meant
+// to change decisions replaces them, and says so.
 #include "policy/replay.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
     0xa57aea723cd88603ULL, 0x9157c4d4d3939e8dULL, 0x612701abea4adbb1ULL, 0x5708943c33f0fa04ULL,
 };
 
-TEST(Replay, DecidesAsBeforeTheSplit) {
+TEST(Replay, ActionsMatchTheRecordedDigests) {
   for (std::uint64_t block = 0; block < kExpected.size(); ++block) {
     Digest digest;
     for (std::uint64_t i = 0; i < kSeedsInBlock; ++i) {
--- a/tests/readme_example.cpp
+++ b/tests/readme_example.cpp
@@ -1,4 +1,4 @@
-// The module at its smallest: one class, one endpoint, one request that is answered.
+// A minimal use of the module: one class, one endpoint, one request that is answered.
 #include <cstdlib>
 #include <iostream>
 #include <string>
@@ -10,7 +10,7 @@
 using gaugecart::Micros;
 using gaugecart::RequestId;
 
-// An embedder's side: it carries out what the module decides. Here it only keeps it.
+// The embedder carries out the module's decisions. This one only records them.
 struct Recorder : gaugecart::Actions {
   int sends = 0;
   int finals = 0;
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -1,4 +1,5 @@
-// One sidecar with its door on the virtual network, and peers that say and hear plain text.
+// A sidecar with its control interface on the virtual network, and peers that send and receive
+// plain text.
 #ifndef SHELFLINK_TESTS_SCENE_H_
 #define SHELFLINK_TESTS_SCENE_H_
 
@@ -19,27 +20,27 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Keeps what it is told, and whether the other side has ended.
-struct Talk : seeds::Peer {
-  std::string got;
+// Keeps the received text, and whether the connection has ended.
+struct RecordingPeer : seeds::Peer {
+  std::string received;
   bool ended = false;
   bool broken = false;
 
-  int Status() const { return got.size() > 12 ? std::stoi(got.substr(9, 3)) : 0; }
-  bool Has(const std::string& text) const { return got.find(text) != std::string::npos; }
+  int Status() const { return received.size() > 12 ? std::stoi(received.substr(9, 3)) : 0; }
+  bool Has(const std::string& text) const { return received.find(text) != std::string::npos; }
 
  private:
-  void Data(std::string_view bytes) override { got += bytes; }
+  void Data(std::string_view bytes) override { received += bytes; }
   void Over(net::Fault fault) override {
     ended = true;
     broken = fault != net::Fault::kEnd;
   }
 };
-using TalkPtr = std::shared_ptr<Talk>;
+using PeerPtr = std::shared_ptr<RecordingPeer>;
 
-// Says its text as soon as the connection is up.
-struct Opening : Talk {
-  explicit Opening(std::string words) : text(std::move(words)) {}
+// Sends its text once connected.
+struct SendingPeer : RecordingPeer {
+  explicit SendingPeer(std::string opening_text) : text(std::move(opening_text)) {}
   std::string text;
 
  private:
@@ -67,8 +68,8 @@
       : Rig(seed, sockets, {"read", "wr\"ite"}) {
     shelflab::SidecarPlace place;
     place.sockets = sockets;
-    const auto keep = [](std::deque<TalkPtr>& talks) {
-      return [&talks] { return talks.emplace_back(std::make_shared<Talk>()); };
+    const auto make_peer = [](std::deque<PeerPtr>& peers) {
+      return [&peers] { return peers.emplace_back(std::make_shared<RecordingPeer>()); };
     };
     Start(
         rig::Fleet({"read", "write"}, 500'000, 3'000'000), place,
@@ -76,24 +77,24 @@
           log += line;
           log += '\n';
         },
-        keep(at_node), keep(at_discovery));
+        make_peer(at_node), make_peer(at_discovery));
     Run(milliseconds(50));
   }
   ~Scene() { End(); }
 
-  TalkPtr Open(const net::Address& to, const std::string& text = "") {
-    auto talk = std::make_shared<Opening>(text);
-    talk->Dial(client, to);
+  PeerPtr Open(const net::Address& to, const std::string& text = "") {
+    auto peer = std::make_shared<SendingPeer>(text);
+    peer->Dial(client, to);
     Run(milliseconds(5));
-    return talk;
+    return peer;
   }
-  TalkPtr AskDoor(const std::string& method, const std::string& path) {
+  PeerPtr AskControl(const std::string& method, const std::string& path) {
     return Open(kDoorAt, method + ' ' + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
   }
   int Health() { return Open(kClientsAt, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")->Status(); }
-  // Nothing passes between the sidecar and its node.
+  // Cuts the network between the sidecar and its node.
   void CutNode(bool on) { net_.SetCut(rig::kHost, node.host(), on); }
-  // What goes between them takes so long.
+  // Sets the latency between the sidecar and its node.
   void SlowNode(milliseconds span) {
     net::Weather weather = net_.weather();
     weather.latency_low = weather.latency_high = span;
@@ -101,7 +102,7 @@
   }
   void CutDiscovery(bool on) { net_.SetCut(rig::kHost, discovery.host(), on); }
 
-  std::deque<TalkPtr> at_node, at_discovery;
+  std::deque<PeerPtr> at_node, at_discovery;
   std::string log;
 };
 
--- a/tests/stream/stream_test.cpp
+++ b/tests/stream/stream_test.cpp
@@ -52,19 +52,19 @@
   const std::string answer = Answer(body);
   s.at_node.at(0)->Send(answer.substr(0, 5000));
   s.Run(milliseconds(20));
-  EXPECT_GT(BodyOf(client->got).size(), 4000u);  // Long before the rest is there.
+  EXPECT_GT(BodyOf(client->received).size(), 4000u);  // Long before the rest is there.
   s.at_node.at(0)->Send(answer.substr(5000));
   s.Run(seconds(1));
-  EXPECT_EQ(BodyOf(client->got), body);
+  EXPECT_EQ(BodyOf(client->received), body);
   EXPECT_TRUE(client->Has("Content-Length: 1048576\r\n"));
   EXPECT_FALSE(client->ended);
-  client->got.clear();
+  client->received.clear();
   client->Send(Call(2));
   s.Run(milliseconds(20));
   ASSERT_EQ(s.at_node.size(), 1u);
   s.at_node.at(0)->Send(Answer("short"));
   s.Run(milliseconds(20));
-  EXPECT_EQ(BodyOf(client->got), "short");
+  EXPECT_EQ(BodyOf(client->received), "short");
 }
 
 // Neither time-out nor deadline applies once it has begun: it takes 6 s where callers wait 2 s.
@@ -77,7 +77,7 @@
     s.at_node.at(0)->Send(answer.substr(at, kHeld));
     s.Run(seconds(1));
   }
-  EXPECT_EQ(BodyOf(client->got), body);
+  EXPECT_EQ(BodyOf(client->received), body);
 }
 
 TEST(LongAnswer, InChunksWithExtensionsAndTrailersOrEndedByTheClose) {
@@ -91,7 +91,7 @@
     s.at_node.at(0)->CloseWhenSent();
     s.Run(seconds(1));
     EXPECT_TRUE(client->Has("Transfer-Encoding: chunked\r\n"));
-    EXPECT_EQ(Unchunked(BodyOf(client->got)), body) << chunked;
+    EXPECT_EQ(Unchunked(BodyOf(client->received)), body) << chunked;
   }
 }
 
@@ -107,7 +107,7 @@
   EXPECT_TRUE(client->ended);
   EXPECT_FALSE(client->broken);
   EXPECT_FALSE(client->Has("Transfer-Encoding"));
-  EXPECT_EQ(BodyOf(client->got), body);
+  EXPECT_EQ(BodyOf(client->received), body);
 }
 
 // Broken off after a part went out: the client sees that it is not whole, the endpoint is not asked
@@ -127,7 +127,7 @@
     EXPECT_TRUE(client->ended);
     EXPECT_TRUE(client->broken);
     EXPECT_EQ(s.at_node.size(), 1u);
-    const auto figures = s.AskDoor("GET", "/metrics");
+    const auto figures = s.AskControl("GET", "/metrics");
     EXPECT_TRUE(figures->Has("{group=\"read\",state=\"errored\"} 1\n"));
     EXPECT_TRUE(figures->Has("app_current 0\n"));
   }
@@ -149,7 +149,7 @@
 // them, and a fifth client is served as if they were not there.
 TEST(LongAnswer, ToAReaderThatStopsHoldsUpOnlyItself) {
   Scene s;
-  std::vector<TalkPtr> stopped;
+  std::vector<PeerPtr> stopped;
   std::size_t taken = 0;
   const std::string answer = Answer(Filler(4 * kMegabyte));
   for (int i = 0; i < 4; ++i) {
@@ -164,10 +164,10 @@
   const auto fifth = s.Open(kClientsAt, Call(5));
   s.at_node.back()->Send(Answer(Filler(kMegabyte)));
   s.Run(seconds(1));
-  EXPECT_EQ(BodyOf(fifth->got).size(), kMegabyte);
+  EXPECT_EQ(BodyOf(fifth->received).size(), kMegabyte);
   for (const auto& client : stopped) client->Hold(false);
   s.Run(seconds(20));
-  for (const auto& client : stopped) EXPECT_EQ(BodyOf(client->got).size(), 4 * kMegabyte);
+  for (const auto& client : stopped) EXPECT_EQ(BodyOf(client->received).size(), 4 * kMegabyte);
 }
 
 TEST(LongAnswer, IsCancelledWhenItsClientGoes) {
@@ -194,13 +194,13 @@
     const auto client = s.Open(kClientsAt, LongCall(1, body, chunked));
     s.Run(seconds(1));
     ASSERT_EQ(s.at_node.size(), 1u);
-    const std::string got = BodyOf(s.at_node.at(0)->got);
+    const std::string got = BodyOf(s.at_node.at(0)->received);
     EXPECT_EQ(chunked ? Unchunked(got) : got, body);
     s.at_node.at(0)->Send(Answer("taken"));
     s.Run(milliseconds(20));
-    EXPECT_EQ(BodyOf(client->got), "taken");
+    EXPECT_EQ(BodyOf(client->received), "taken");
     EXPECT_FALSE(client->ended);
-    EXPECT_TRUE(s.AskDoor("GET", "/metrics")->Has("app_sends 1\n"));
+    EXPECT_TRUE(s.AskControl("GET", "/metrics")->Has("app_sends 1\n"));
   }
 }
 
@@ -216,7 +216,7 @@
   client->Send(Call(1, body).substr(100'000));
   s.Run(milliseconds(500));
   ASSERT_FALSE(s.at_node.empty());
-  EXPECT_EQ(BodyOf(s.at_node.back()->got), body);
+  EXPECT_EQ(BodyOf(s.at_node.back()->received), body);
 }
 
 // Broken before its last byte it never ran: refused, and no second endpoint gets what is left.
@@ -240,11 +240,11 @@
   Scene s;
   const auto client = s.Open(kClientsAt, Call(1, Filler(kMegabyte)).substr(0, 500'000));
   s.Run(milliseconds(50));
-  EXPECT_GT(s.at_node.at(0)->got.size(), 300'000u);
+  EXPECT_GT(s.at_node.at(0)->received.size(), 300'000u);
   client->Close();
   s.Run(milliseconds(50));
   EXPECT_TRUE(s.at_node.at(0)->ended);
-  EXPECT_LE(s.at_node.at(0)->got.size(), 500'100u);
+  EXPECT_LE(s.at_node.at(0)->received.size(), 500'100u);
   EXPECT_EQ(s.sidecar->holds().requests, 0u);
 }
 
@@ -263,7 +263,7 @@
   }
   s.Run(milliseconds(1500));
   ASSERT_EQ(s.at_node.size(), 1u);
-  EXPECT_EQ(BodyOf(s.at_node.at(0)->got), body);
+  EXPECT_EQ(BodyOf(s.at_node.at(0)->received), body);
   s.at_node.at(0)->Send(Answer("taken"));
   s.Run(milliseconds(20));
   EXPECT_EQ(client->Status(), 200);
@@ -309,7 +309,7 @@
   }
   EXPECT_TRUE(s.at_discovery.at(0)->ended);
   EXPECT_GE(s.at_discovery.size(), 2u);
-  EXPECT_TRUE(s.AskDoor("GET", "/metrics")->Has("\napp_cluster_size 1\n"));
+  EXPECT_TRUE(s.AskControl("GET", "/metrics")->Has("\napp_cluster_size 1\n"));
   const auto client = s.Open(kClientsAt, Call(1));
   ASSERT_FALSE(s.at_node.empty());
   s.at_node.at(0)->Send(Answer("one"));
@@ -323,10 +323,10 @@
   Scene s;
   const auto client =
       s.Open(kClientsAt, Call(1, "", "Expect: 100-Continue\r\nContent-Length: 5\r\n"));
-  EXPECT_EQ(client->got, "HTTP/1.1 100 Continue\r\n\r\n");
+  EXPECT_EQ(client->received, "HTTP/1.1 100 Continue\r\n\r\n");
   client->Send("hello");
   s.Run(milliseconds(20));
-  EXPECT_EQ(BodyOf(s.at_node.at(0)->got), "hello");
+  EXPECT_EQ(BodyOf(s.at_node.at(0)->received), "hello");
   const auto other = s.Open(kClientsAt, Call(2, "", "Expect: a-miracle\r\nContent-Length: 5\r\n"));
   EXPECT_EQ(other->Status(), 417);
 }
@@ -338,7 +338,7 @@
   s.Open(kClientsAt, call);
   const auto client = s.Open(kClientsAt, call);
   ASSERT_FALSE(s.at_node.empty());
-  EXPECT_EQ(s.at_node.at(0)->got.substr(0, 23), "GET /api?q=1 HTTP/1.1\r\n");
+  EXPECT_EQ(s.at_node.at(0)->received.substr(0, 23), "GET /api?q=1 HTTP/1.1\r\n");
   EXPECT_TRUE(s.at_node.at(0)->Has("Host: other:80\r\n"));
   EXPECT_EQ(s.Open(kClientsAt, "GET http://h/_health HTTP/1.1\r\nHost: h\r\n\r\n")->Status(), 200);
 }
@@ -350,7 +350,7 @@
   s.at_node.at(0)->Send("HTTP/1.0 200 OK\r\n\r\nold");
   s.at_node.at(0)->CloseWhenSent();
   s.Run(milliseconds(50));
-  EXPECT_EQ(BodyOf(client->got), "old");
+  EXPECT_EQ(BodyOf(client->received), "old");
   const auto cut = s.Open(kClientsAt, Call(2, "effect"));
   s.at_node.at(1)->Send("HTTP/1.0 200 OK\r\n\r\nol");
   s.Run(milliseconds(20));
@@ -365,7 +365,7 @@
   const std::string body = Filler(200'000);
   const auto client = s.Open(kClientsAt, LongCall(1, body, true) + Call(2));
   s.Run(milliseconds(100));
-  EXPECT_EQ(Unchunked(BodyOf(s.at_node.at(0)->got)), body);
+  EXPECT_EQ(Unchunked(BodyOf(s.at_node.at(0)->received)), body);
   s.at_node.at(0)->Send(Answer("one"));
   s.Run(milliseconds(20));
   s.at_node.at(0)->Send(Answer("two"));
