--- a/include/gaugecart/choice.h
+++ b/include/gaugecart/choice.h
@@ -34,16 +34,17 @@
   double late_share = 0.0;
   Repeat repeat = Repeat::kAtMostOnce;
   DedupGroup group = DedupGroup::kAll;
-  Micros dedup_window = 0;
-  bool stream = false;
+  Micros dedup_window = 0;  // How long duplicates are recognised.
+  bool stream = false;      // Answers are streams.
 };
 
 // Settings of one tenant.
 struct TenantSettings {
   double quota_per_s = 0.0;  // Calls per second over all balancers of the group.
-  double share = 0.0;
+  double share = 0.0;        // Its share of the service.
 };
 
+// Settings of a balancer; src/validate.h checks them.
 struct Settings {
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;  // May be empty.
@@ -71,19 +72,21 @@
 
   Micros round = 1000;  // Shortest time between events.
   Micros drain_grace = 0;
-  Micros ask_within = 10'000'000;
+  Micros ask_within = 10'000'000;  // Discovery must be asked within this time.
   double cold_from = 1.0;  // Smallest fraction of its capacity that an endpoint starts with.
   Micros warm_up = 0;      // Longest time until it has all of its capacity.
+  // A warming endpoint fails if `fall` brings it more than this multiple of what it can do.
   double fall_multiple = 1.0;
   Micros fall = 1'000'000;
 };
 
+// Whether an endpoint takes new requests; kGone: it is not listed any more.
 enum class Availability { kReady, kDraining, kGone };
 
+// An entry of the endpoint list.
 struct Endpoint {
   EndpointId id = 0;
-  std::uint64_t hash =
-      0;  // Stable hash of its name: equal at every balancer and after every restart.
+  std::uint64_t hash = 0;  // Stable hash of its name: equal at every balancer and every start.
   double size = 1.0;
   std::int32_t zone = -1;
   std::int64_t cell = -1;
@@ -91,12 +94,14 @@
   Micros launched = 0;  // Start of its process; 0: long ago.
 };
 
+// What OnEndpoints is given.
 enum class ListKind {
   kChanges,  // Only the changed endpoints.
   kFull,     // The complete list.
   kStale,    // The complete list as last stored; possibly outdated.
 };
 
+// A request of the caller.
 struct Request {
   RequestId id = 0;
   std::uint32_t priority_level = 0;     // Index into Settings::classes.
@@ -106,6 +111,7 @@
   std::optional<std::uint64_t> key;
 };
 
+// How an attempt ended, and whether its request may have run.
 enum class OutcomeCode {
   kOk,
   kError,          // May have run.
@@ -117,19 +123,21 @@
   kNeverSent,      // Never ran.
 };
 
+// Load that an endpoint reported with an answer.
 struct LoadReport {
   std::optional<double> in_flight;    // Requests in progress.
   std::optional<double> queued;       // Requests waiting in queues.
   std::optional<double> utilisation;  // Fraction of the cores in use.
 };
 
+// The end of an attempt.
 struct Outcome {
   RequestId request = 0;
   std::uint32_t attempt = 0;  // 0 for the first attempt of the request.
   EndpointId endpoint = 0;
   OutcomeCode code = OutcomeCode::kError;
   bool closed = false;  // The request is finished; the caller expects no further answer.
-  Micros rtt = 0;
+  Micros rtt = 0;       // From the send to the end of the attempt.
   std::optional<LoadReport> report;
 };
 
@@ -137,9 +145,9 @@
 struct LearnedState {
   struct Ejection {
     EndpointId endpoint = 0;
-    Micros launched = 0;   // As in Endpoint; ignored for another process of the endpoint.
-    Micros remaining = 0;  // Remaining time of the ejection.
-    std::int32_t strikes = 0;
+    Micros launched = 0;       // As in Endpoint; ignored for another process of the endpoint.
+    Micros remaining = 0;      // Remaining time of the ejection.
+    std::int32_t strikes = 0;  // Number of ejections; each lengthens the next.
   };
   double limit = 0;  // Concurrency limit of all priority levels together; 0: unknown.
   std::vector<Ejection> ejections;
@@ -158,13 +166,16 @@
   virtual void Refuse(RequestId request, Micros advice) = 0;
   // Final answer: a failure; the request may have run.
   virtual void Fail(RequestId request) = 0;
+  // Cancels an attempt; only with Settings::may_cancel.
   virtual void Cancel(RequestId request, std::uint32_t attempt) = 0;
+  // Calls OnTimer at that time or soon after.
   virtual void SetTimer(Micros at, std::uint64_t mark) = 0;
   virtual void Follow() = 0;   // Subscribes to changes of the endpoint list.
   virtual void Refresh() = 0;  // Requests the whole endpoint list once.
   virtual void Log(const std::string& text) = 0;
 };
 
+// Decides where and when the requests of one caller are sent. Not thread-safe.
 class Balancer {
  public:
   // Throws std::invalid_argument that names the first invalid field of the settings. `actions` must
@@ -174,11 +185,16 @@
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
+  // The endpoint list, or changes to it.
   void OnEndpoints(Micros now, ListKind kind, const std::vector<Endpoint>& endpoints);
+  // A subscription failed; the balancer asks for another after a backoff.
   void OnDiscoveryFailed(Micros now);
+  // Ignored for an unknown priority level or an id in use.
   void OnRequest(Micros now, const Request& request);
+  // The answer has begun: the request is not sent again.
   void OnFirstByte(Micros now, RequestId request, std::uint32_t attempt);
   void OnOutcome(Micros now, const Outcome& outcome);
+  // The caller has given up; no further answer is sent.
   void OnAbandoned(Micros now, RequestId request);
   void OnTimer(Micros now, std::uint64_t mark);
 
@@ -186,6 +202,7 @@
   // caller is responsible for its age. The limit is capped at the initial limit, and ejections at
   // the fraction of the list that may be ejected.
   void Restore(Micros now, const LearnedState& state);
+  // The present limit and ejections, for Restore of a later balancer.
   LearnedState Export(Micros now) const;
 
   // Number of listed endpoints that are draining or ejected.
--- a/src/validate.cpp
+++ b/src/validate.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-void Require(bool ok, const std::string& what) {
-  if (!ok) throw std::invalid_argument("gaugecart settings: " + what);
+void Require(bool valid, const std::string& message) {
+  if (!valid) throw std::invalid_argument("gaugecart settings: " + message);
 }
 
 }  // namespace
@@ -17,20 +17,22 @@
 void Validate(const Settings& s) {
   Require(!s.classes.empty(), "classes is empty");
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    const std::string at = "classes[" + std::to_string(i) + "].";
+    const std::string prefix = "classes[" + std::to_string(i) + "].";
     const ClassSettings& c = s.classes[i];
-    Require(c.aim > 0, at + "aim must be positive");
-    Require(c.give_up > 0, at + "give_up must be positive");
-    Require(c.dedup_window >= 0, at + "dedup_window must not be negative");
-    Require(std::isfinite(c.worth) && c.worth >= 0, at + "worth must be a number from 0 up");
-    Require(std::isfinite(c.late_share), at + "late_share must be a number");
+    Require(c.aim > 0, prefix + "aim must be positive");
+    Require(c.give_up > 0, prefix + "give_up must be positive");
+    Require(c.dedup_window >= 0, prefix + "dedup_window must not be negative");
+    Require(std::isfinite(c.worth) && c.worth >= 0,
+            prefix + "worth must be finite and not negative");
+    Require(std::isfinite(c.late_share), prefix + "late_share must be finite");
   }
   for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-    const std::string at = "tenants[" + std::to_string(i) + "].";
+    const std::string prefix = "tenants[" + std::to_string(i) + "].";
     const TenantSettings& t = s.tenants[i];
-    Require(std::isfinite(t.share) && t.share >= 0, at + "share must be a number from 0 up");
+    Require(std::isfinite(t.share) && t.share >= 0,
+            prefix + "share must be finite and not negative");
     Require(std::isfinite(t.quota_per_s) && t.quota_per_s >= 0,
-            at + "quota_per_s must be a number from 0 up");
+            prefix + "quota_per_s must be finite and not negative");
   }
   Require(s.group_size >= 1, "group_size must be at least 1");
   Require(s.max_attempts >= 1, "max_attempts must be at least 1");
