--- a/src/policy/subset.h
+++ b/src/policy/subset.h
@@ -109,7 +109,7 @@
 
   void AddPrivateRanks() {
     private_ranks_added_ = true;
-    Keyed rest;
+    Keyed unranked;
     for (EndpointState* s : *ready_) {
       if (!IsRanked(s)) unranked.emplace_back(Mix(s->info.hash ^ Mix(settings_.me)), s);
     }
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -339,7 +339,7 @@
   std::vector<Action> sends = d.Sends();
   for (RequestId id = 1001; id <= 1008; ++id) d.Ask(id, 0, 1);
   d.recorder.Take();
-  std::size_t other = 0;
+  std::size_t other_tenant = 0;
   for (std::size_t i = 0; i < 12; ++i) {
     d.Answer(sends[i].request, sends[i].endpoint, OutcomeCode::kOk);
   }
