--- a/src/tier/batch/front.h
+++ b/src/tier/batch/front.h
@@ -10,12 +10,12 @@
 #include "net/loop.h"
 #include "tier/batch/store_caller.h"
 #include "tier/foundation/settings.h"
-#include "tier/proxy/batch_front.h"
+#include "tier/proxy/batch_job_service.h"
 #include "tier/transport/hub.h"
 
 namespace shelflink::batch {
 
-class Front final : public proxy::BatchFront {
+class Front final : public proxy::BatchJobService {
  public:
   // How long a store is asked on a client's behalf, counted from the client's last byte. A question
   // goes on over a change of the partition's primary; afterwards the client is told that nothing is
--- a/src/tier/batch/item_run.cpp
+++ b/src/tier/batch/item_run.cpp
@@ -5,8 +5,8 @@
 
 #include "tier/foundation/log.h"
 #include "tier/foundation/steady_time.h"
-#include "tier/proxy/levels.h"
-#include "tier/proxy/names.h"
+#include "tier/proxy/header_names.h"
+#include "tier/proxy/priority_levels.h"
 
 namespace shelflink::batch {
 namespace {
@@ -101,7 +101,7 @@
   request.configuration = configuration_;
   request.route = route_;
   request.tenant = assign_.item.job.tenant;
-  request.level = proxy::Levels(*configuration_).batch();
+  request.level = proxy::PriorityLevels(*configuration_).batch();
   request.batch = true;
   request.resumable = true;
   request.last_event_id = output_.all().last_event_id;
@@ -142,7 +142,7 @@
 void ItemRun::OnHead(int status, const proxy::HeaderList& headers, std::optional<std::uint64_t>) {
   head_status_ = status;
   stamped_ = std::any_of(headers.begin(), headers.end(), [](const auto& header) {
-    return SameName(header.first, proxy::kStampHeader);
+    return SameName(header.first, proxy::kResponseStampHeader);
   });
 }
 
--- a/src/tier/batch/runner.cpp
+++ b/src/tier/batch/runner.cpp
@@ -112,7 +112,7 @@
   std::uint32_t Room() const {
     if (draining_) return 0;
     if (loop_.Now() < refused_until_) return 0;
-    std::size_t room = calls_.BatchRoom();
+    std::size_t room = calls_.BatchCapacity();
     room -= std::min(room, runs_.awaiting_lease());
     room = std::min(room, kMostRuns - std::min(kMostRuns, runs_.size()));
     const std::size_t free_bytes = kMostHeldBytes - std::min(kMostHeldBytes, runs_.bytes());
--- a/src/tier/proxy/live_call.cpp
+++ b/src/tier/proxy/active_call.cpp
@@ -1,9 +1,9 @@
-#include "tier/proxy/live_call.h"
+#include "tier/proxy/active_call.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "tier/proxy/names.h"
+#include "tier/proxy/header_names.h"
 #include "tier/proxy/outgoing_request.h"
 
 namespace shelflink::proxy {
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-LiveCall::LiveCall(policy::CallId call, CallRequest asked, CallUser& told, net::Time now)
+ActiveCall::ActiveCall(policy::CallId call, CallRequest asked, CallUser& told, net::Time now)
     : id(call),
       request(std::move(asked)),
       user(&told),
@@ -40,11 +40,11 @@
   end = std::min<net::Time>(due, over + kEndSlack);
 }
 
-bool LiveCall::is_stream_route() const {
+bool ActiveCall::is_stream_route() const {
   return request.batch || request.route->kind == RouteKind::kStreaming;
 }
 
-void LiveCall::Begin(std::uint32_t number, const std::string& at) {
+void ActiveCall::Begin(std::uint32_t number, const std::string& at) {
   attempt = number;
   endpoint = at;
   out = true;
@@ -55,12 +55,12 @@
   head.reset();
 }
 
-bool LiveCall::MayMove() const {
+bool ActiveCall::MayMove() const {
   const bool may_run_again = request.resumable || request.route->kind == RouteKind::kIdempotent;
   return may_run_again && ran + 1 < max_attempts();
 }
 
-void LiveCall::SetSilences(net::Time now) {
+void ActiveCall::SetSilences(net::Time now) {
   const Route& route = *request.route;
   if (request.batch) {
     failover_silence = kItemFailoverSilence;
@@ -75,11 +75,11 @@
   later_silence = first_silence;
 }
 
-bool LiveCall::MayGoOn(net::Time now) const {
+bool ActiveCall::MayGoOn(net::Time now) const {
   return repeatable && ran < max_attempts() && MaySendMore(now) && CanContinue();
 }
 
-bool LiveCall::CanContinue() const {
+bool ActiveCall::CanContinue() const {
   return !head_told || (request.resumable && events.events() > 0 && events.CanRejoin());
 }
 
--- a/src/tier/proxy/live_call.h
+++ b/src/tier/proxy/active_call.h
@@ -1,7 +1,7 @@
 // One call under way: what was asked, its present attempt, and what may still be done with it.
 // Holds no connection and decides nothing of where it goes.
-#ifndef SHELFLINK_TIER_PROXY_LIVE_CALL_H_
-#define SHELFLINK_TIER_PROXY_LIVE_CALL_H_
+#ifndef SHELFLINK_TIER_PROXY_ACTIVE_CALL_H_
+#define SHELFLINK_TIER_PROXY_ACTIVE_CALL_H_
 
 #include <cstdint>
 #include <optional>
@@ -16,10 +16,10 @@
 
 namespace shelflink::proxy {
 
-struct LiveCall {
+struct ActiveCall {
   static constexpr int kMostSends = 16;  // Of one call, however many did not run it.
 
-  LiveCall(policy::CallId call, CallRequest asked, CallUser& told, net::Time now);
+  ActiveCall(policy::CallId call, CallRequest asked, CallUser& told, net::Time now);
 
   int max_attempts() const { return request.max_attempts.value_or(request.route->max_attempts); }
   bool is_stream_route() const;
@@ -77,4 +77,4 @@
 
 }  // namespace shelflink::proxy
 
-#endif  // SHELFLINK_TIER_PROXY_LIVE_CALL_H_
+#endif  // SHELFLINK_TIER_PROXY_ACTIVE_CALL_H_
--- a/src/tier/proxy/batch_front.h
+++ b/src/tier/proxy/batch_job_service.h
@@ -4,8 +4,8 @@
 //
 // Errors become statuses: kInvalid 400, kNotFound 404, kTooLarge 413, kExhausted 429 (nothing was
 // taken), kUnavailable 503 (nothing was taken), anything else 503, for a submission 504.
-#ifndef SHELFLINK_TIER_PROXY_BATCH_FRONT_H_
-#define SHELFLINK_TIER_PROXY_BATCH_FRONT_H_
+#ifndef SHELFLINK_TIER_PROXY_BATCH_JOB_SERVICE_H_
+#define SHELFLINK_TIER_PROXY_BATCH_JOB_SERVICE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -51,12 +51,12 @@
       results;  // From position `after` on; nextToken follows from their count.
 };
 
-class BatchFront {
+class BatchJobService {
  public:
   template <typename T>
   using Reply = std::function<void(Result<T>)>;
 
-  virtual ~BatchFront() = default;
+  virtual ~BatchJobService() = default;
   // Each reply is called once, perhaps at once, perhaps after the client has left.
   virtual void Submit(const BatchCaller& caller, BatchSubmission submission, Reply<void> reply) = 0;
   virtual void Read(const BatchCaller& caller, const BatchRead& read, Reply<BatchPage> reply) = 0;
@@ -68,4 +68,4 @@
 
 }  // namespace shelflink::proxy
 
-#endif  // SHELFLINK_TIER_PROXY_BATCH_FRONT_H_
+#endif  // SHELFLINK_TIER_PROXY_BATCH_JOB_SERVICE_H_
--- a/src/tier/proxy/batch_requests.cpp
+++ b/src/tier/proxy/batch_requests.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "tier/foundation/json_text.h"
+#include "tier/proxy/header_names.h"
 #include "tier/proxy/headers.h"
-#include "tier/proxy/names.h"
 
 namespace shelflink::proxy {
 namespace {
@@ -73,7 +73,7 @@
 }
 
 void Submit(const ClientPtr& client, kelpspring::HttpRequest request, const BatchCaller& caller,
-            BatchFront& batch) {
+            BatchJobService& batch) {
   std::string job(View(request[kRequestIdHeader]));
   if (job.empty() || request.count(kRequestIdHeader) > 1) {
     return client->RespondPlain(400, "Shelflink-Request-Id: expected once\n");
@@ -87,7 +87,7 @@
 }
 
 void Read(const ClientPtr& client, const kelpspring::HttpRequest& request, std::string job,
-          const BatchCaller& caller, BatchFront& batch) {
+          const BatchCaller& caller, BatchJobService& batch) {
   const std::string_view after = QueryValue(View(request.target()), "afterId");
   const auto position = after.empty() ? 0 : WholeNumber(after);
   if (!position) return client->RespondPlain(400, "afterId: expected a whole number\n");
@@ -103,7 +103,7 @@
 }
 
 void ReadBody(const ClientPtr& client, const kelpspring::HttpRequest& request,
-              const std::string& job, const BatchCaller& caller, BatchFront& batch) {
+              const std::string& job, const BatchCaller& caller, BatchJobService& batch) {
   const std::string item(QueryValue(View(request.target()), "id"));
   if (item.empty()) return client->RespondPlain(400, "id: expected the id of an item\n");
   batch.Body(caller, job, item, [client](const Result<std::string>& body) {
@@ -113,7 +113,7 @@
 }
 
 void End(const ClientPtr& client, const std::string& job, const BatchCaller& caller,
-         BatchFront& batch) {
+         BatchJobService& batch) {
   batch.End(caller, job, [client](const Result<void>& result) {
     if (!Failed(client, result)) client->Respond(AnswerWith(200, "application/json", "{}"));
   });
@@ -126,7 +126,7 @@
 }
 
 void AnswerBatchRequest(const ClientPtr& client, kelpspring::HttpRequest request,
-                        const BatchCaller& caller, BatchFront& batch) {
+                        const BatchCaller& caller, BatchJobService& batch) {
   const std::string path(kelpspring::PathOf(View(request.target())));
   const std::string job(After(path, kLots));
   const std::string of_items(After(path, kItems));
--- a/src/tier/proxy/batch_requests.h
+++ b/src/tier/proxy/batch_requests.h
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "sidecar/server.h"
-#include "tier/proxy/batch_front.h"
+#include "tier/proxy/batch_job_service.h"
 
 namespace shelflink::proxy {
 
@@ -16,7 +16,7 @@
 // Asks `batch` and answers the client, at once where the request cannot be used.
 void AnswerBatchRequest(const std::shared_ptr<kelpspring::Client>& client,
                         kelpspring::HttpRequest request, const BatchCaller& caller,
-                        BatchFront& batch);
+                        BatchJobService& batch);
 
 // As it goes out: {"total":..,"nextToken":..,"results":[..]}.
 std::string PageJson(const BatchPage& page, std::uint64_t after);
--- a/src/tier/proxy/calls.h
+++ b/src/tier/proxy/calls.h
@@ -88,7 +88,7 @@
   virtual void Resume(policy::CallId call) = 0;
   virtual void Cancel(policy::CallId call) = 0;
   // How many batch items could be started now.
-  virtual std::uint32_t BatchRoom() const = 0;
+  virtual std::uint32_t BatchCapacity() const = 0;
 };
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -6,11 +6,11 @@
 
 #include "tier/foundation/invariants.h"
 #include "tier/foundation/steady_time.h"
-#include "tier/proxy/answer_reading.h"
 #include "tier/proxy/event_stream.h"
+#include "tier/proxy/header_names.h"
 #include "tier/proxy/headers.h"
-#include "tier/proxy/names.h"
 #include "tier/proxy/outgoing_request.h"
+#include "tier/proxy/response_classifier.h"
 
 namespace shelflink::proxy {
 
@@ -45,7 +45,7 @@
                  milliseconds(0), true, true, true}),
       registry_(upstream_),
       module_(options_.seed, *this),
-      feed_(module_, registry_, {options_.node, options_.zone, options_.most_held}),
+      feed_(module_, registry_, {options_.node, options_.zone, options_.max_calls}),
       timer_(loop.NewTimer([this] {
         module_.OnTimer(Now());
         CarryOut();
@@ -64,7 +64,8 @@
 
 CallId EndpointCalls::Start(CallRequest request, CallUser& user) {
   if (request.batch) request.level = feed_.levels().batch();
-  const auto live = std::make_shared<LiveCall>(++last_call_, std::move(request), user, loop_.Now());
+  const auto live =
+      std::make_shared<ActiveCall>(++last_call_, std::move(request), user, loop_.Now());
   calls_[live->id] = live;
   if (IsTarget(live->request.target)) {
     module_.OnCall(Now(), DescriptionOf(*live, live->id));
@@ -76,7 +77,7 @@
   return live->id;
 }
 
-policy::Call EndpointCalls::DescriptionOf(const LiveCall& live, CallId id) const {
+policy::Call EndpointCalls::DescriptionOf(const ActiveCall& live, CallId id) const {
   const CallRequest& request = live.request;
   const Route& route = *request.route;
   policy::Call call;
@@ -97,12 +98,12 @@
 }
 
 void EndpointCalls::Resume(CallId call) {
-  const LivePtr live = Find(call);
+  const CallPtr live = Find(call);
   if (live && live->out) upstream_.Resume({call, live->attempt});
 }
 
 void EndpointCalls::Cancel(CallId call) {
-  const LivePtr live = Find(call);
+  const CallPtr live = Find(call);
   if (!live) return;
   calls_.erase(call);
   if (live->out) upstream_.Cancel({call, live->attempt});
@@ -110,7 +111,7 @@
   CarryOut();
 }
 
-std::uint32_t EndpointCalls::BatchRoom() const {
+std::uint32_t EndpointCalls::BatchCapacity() const {
   return module_.Room(Now(), feed_.levels().batch());
 }
 
@@ -124,13 +125,13 @@
   return loads;
 }
 
-EndpointCalls::LivePtr EndpointCalls::Find(CallId call) const {
+EndpointCalls::CallPtr EndpointCalls::Find(CallId call) const {
   const auto it = calls_.find(call);
   return it == calls_.end() ? nullptr : it->second;
 }
 
-EndpointCalls::LivePtr EndpointCalls::FindAttempt(AttemptKey key) const {
-  LivePtr live = Find(key.first);
+EndpointCalls::CallPtr EndpointCalls::FindAttempt(AttemptKey key) const {
+  CallPtr live = Find(key.first);
   return live && live->out && live->attempt == key.second ? live : nullptr;
 }
 
@@ -157,7 +158,7 @@
     decisions_.pop_front();
     if (decision.kind == Decision::Kind::kSend) {
       StartAttempt(decision);
-    } else if (const LivePtr live = Find(decision.call)) {
+    } else if (const CallPtr live = Find(decision.call)) {
       // What never ran is told so, whatever the module calls it.
       Finish(live, live->ran == 0 ? CallEnd::kRefused : CallEnd::kFailed, decision.retry_after);
     }
@@ -166,7 +167,7 @@
 }
 
 void EndpointCalls::StartAttempt(const Decision& decision) {
-  const LivePtr live = Find(decision.call);
+  const CallPtr live = Find(decision.call);
   if (!live) return;
   const AttemptKey key{decision.call, decision.attempt};
   live->Begin(decision.attempt, decision.endpoint);
@@ -200,13 +201,13 @@
   return options_.list_state ? options_.list_state() : ListState::kExcused;
 }
 
-bool EndpointCalls::IsForbidden(LiveCall& live) const {
+bool EndpointCalls::IsForbidden(ActiveCall& live) const {
   if (!live.user->MaySend()) return true;
   const ListState list = ListStateNow();
   return live.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);
 }
 
-void EndpointCalls::CheckList(const LiveCall& live, const KnownEndpoint& known) const {
+void EndpointCalls::CheckList(const ActiveCall& live, const KnownEndpoint& known) const {
   if (!known.takes_requests()) return;  // The connections refuse it.
   if (ListStateNow() == ListState::kStale) {
     ProcessInvariants().Violate(Invariant::kEndpointListIsFresh, "a request to " + live.endpoint,
@@ -216,7 +217,7 @@
 
 // Of an attempt that the connections have taken: they keep a list of their own of where requests
 // may go, and refuse what it does not name.
-void EndpointCalls::CheckDraining(const LiveCall& live) const {
+void EndpointCalls::CheckDraining(const ActiveCall& live) const {
   if (registry_.SeenDraining(live.endpoint)) {
     ProcessInvariants().Violate(Invariant::kDrainingStaysDraining, "a request to " + live.endpoint,
                                 Now());
@@ -226,7 +227,7 @@
 // ---- What endpoints answer ----
 
 bool EndpointCalls::OnUp(AttemptKey key) {
-  const LivePtr live = FindAttempt(key);
+  const CallPtr live = FindAttempt(key);
   if (!live) return false;
   live->forbidden = IsForbidden(*live);
   if (live->forbidden || Find(key.first) == nullptr) return false;
@@ -235,17 +236,17 @@
 }
 
 kelpspring::Reading EndpointCalls::ReadHead(AttemptKey key, const HttpResponse& head) const {
-  const LivePtr live = FindAttempt(key);
+  const CallPtr live = FindAttempt(key);
   if (!live) return {};
-  return ReadAnswerHead({live->request.request_id, live->is_stream_route()}, head);
+  return ClassifyResponseHead({live->request.request_id, live->is_stream_route()}, head);
 }
 
-void EndpointCalls::NoteLoad(const LiveCall& live, const HttpResponse& head) {
+void EndpointCalls::NoteLoad(const ActiveCall& live, const HttpResponse& head) {
   const auto load = ParseServerLoad(View(head[kServerLoadHeader]));
   if (load) module_.OnLoad(Now(), live.endpoint, load->running, load->waiting, load->slots);
 }
 
-void EndpointCalls::NoteHeard(LiveCall& live) {
+void EndpointCalls::NoteHeard(ActiveCall& live) {
   live.moved = loop_.Now();
   registry_.NoteHeard(live.endpoint, live.moved);
 }
@@ -254,7 +255,7 @@
 // there is too much of it. One whose endpoint has fallen silent for all goes on elsewhere, if
 // another endpoint would take it.
 std::optional<net::Time> EndpointCalls::OnLate(AttemptKey key) {
-  const LivePtr live = FindAttempt(key);
+  const CallPtr live = FindAttempt(key);
   if (!live) return std::nullopt;
   const net::Time now = loop_.Now();
   const net::Time last = std::min(live->end, live->moved + live->most_silence);
@@ -267,7 +268,7 @@
 
 bool EndpointCalls::OnAnswerBegun(AttemptKey key, HttpResponse head,
                                   std::optional<std::uint64_t> length) {
-  const LivePtr live = FindAttempt(key);
+  const CallPtr live = FindAttempt(key);
   if (!live) return false;
   NoteHeard(*live);
   NoteLoad(*live, head);
@@ -285,25 +286,25 @@
   return FindAttempt(key) != nullptr;
 }
 
-void EndpointCalls::TellHead(const LivePtr& live, const HttpResponse& head,
+void EndpointCalls::TellHead(const CallPtr& live, const HttpResponse& head,
                              std::optional<std::uint64_t> length) {
   live->head_told = true;
   live->status = static_cast<int>(head.result_int());
-  live->user->OnHead(live->status, AnswerHeaders(head), length);
+  live->user->OnHead(live->status, ResponseHeaders(head), length);
 }
 
-void EndpointCalls::TellPendingHead(const LivePtr& live) {
+void EndpointCalls::TellPendingHead(const CallPtr& live) {
   if (live->head) TellHead(live, *std::exchange(live->head, std::nullopt), std::nullopt);
 }
 
 bool EndpointCalls::OnAnswerPart(AttemptKey key, std::string_view part) {
-  const LivePtr live = FindAttempt(key);
+  const CallPtr live = FindAttempt(key);
   if (!live) return false;
   NoteHeard(*live);
   return live->streaming ? TellEvents(live, key, part) : live->user->OnBody(part);
 }
 
-bool EndpointCalls::TellEvents(const LivePtr& live, AttemptKey key, std::string_view part) {
+bool EndpointCalls::TellEvents(const CallPtr& live, AttemptKey key, std::string_view part) {
   // The head goes before the first event; whoever is told may cancel the call.
   const auto on_event = [&](const Event& event) {
     if (FindAttempt(key)) TellPendingHead(live);
@@ -330,7 +331,7 @@
 }
 
 void EndpointCalls::EndAttempt(AttemptKey key, kelpspring::Answer answer) {
-  const LivePtr live = FindAttempt(key);
+  const CallPtr live = FindAttempt(key);
   if (!live) return;
   switch (answer.code) {
     case OutcomeCode::kOk:
@@ -361,7 +362,7 @@
 }
 
 // This endpoint did not run it; another may be asked at any time.
-void EndpointCalls::EndUnsent(const LivePtr& live, AttemptKey key, Outcome outcome) {
+void EndpointCalls::EndUnsent(const CallPtr& live, AttemptKey key, Outcome outcome) {
   live->out = false;
   const bool again = !live->forbidden && live->MaySendMore(loop_.Now());
   Tell(key, outcome, again);
@@ -370,13 +371,13 @@
 }
 
 // Whether the call, given up at its present endpoint, would go on at another at once.
-bool EndpointCalls::CanMove(const LiveCall& live, AttemptKey key) const {
-  return live.MayMove() && live.sends < LiveCall::kMostSends && live.CanContinue() &&
+bool EndpointCalls::CanMove(const ActiveCall& live, AttemptKey key) const {
+  return live.MayMove() && live.sends < ActiveCall::kMostSends && live.CanContinue() &&
          module_.CanMove(Now(), key.first, key.second);
 }
 
 // It may have run, and no whole answer came of it.
-void EndpointCalls::EndBroken(const LivePtr& live, AttemptKey key, Outcome outcome) {
+void EndpointCalls::EndBroken(const CallPtr& live, AttemptKey key, Outcome outcome) {
   live->out = false;
   ++live->ran;
   const bool again = live->MayGoOn(loop_.Now());
@@ -386,7 +387,7 @@
   if (!again) Finish(live, CallEnd::kFailed);
 }
 
-void EndpointCalls::EndStream(const LivePtr& live, AttemptKey key) {
+void EndpointCalls::EndStream(const CallPtr& live, AttemptKey key) {
   const std::string rest(live->events.rest());
   // The end of a connection alone does not tell a stream that is whole from one that broke off.
   if (!rest.empty() && live->ends_with_connection) return EndBroken(live, key, Outcome::kReset);
@@ -398,7 +399,7 @@
   Finish(live, CallEnd::kComplete);
 }
 
-void EndpointCalls::EndAnswered(const LivePtr& live, AttemptKey key, HttpResponse message) {
+void EndpointCalls::EndAnswered(const CallPtr& live, AttemptKey key, HttpResponse message) {
   if (live->passing) {  // All of it has gone on in parts.
     live->out = false;
     Tell(key, live->status >= 500 ? Outcome::kError : Outcome::kSuccess, false);
@@ -420,7 +421,7 @@
   Tell(key, failed ? Outcome::kError : Outcome::kSuccess, again);
 }
 
-void EndpointCalls::HandOver(const LivePtr& live, HttpResponse message) {
+void EndpointCalls::HandOver(const CallPtr& live, HttpResponse message) {
   TellHead(live, message, message.body().size());
   if (!Find(live->id)) return;
   if (!message.body().empty()) live->user->OnBody(message.body());
@@ -433,7 +434,7 @@
 }
 
 // The one end of a call, unless it was cancelled.
-void EndpointCalls::Finish(const LivePtr& live, CallEnd end, Micros retry_after) {
+void EndpointCalls::Finish(const CallPtr& live, CallEnd end, Micros retry_after) {
   if (calls_.erase(live->id) == 0) return;
   const bool unanswered = end == CallEnd::kRefused || end == CallEnd::kFailed;
   if (unanswered && live->failure && !live->head_told) {
--- a/src/tier/proxy/endpoint_calls.h
+++ b/src/tier/proxy/endpoint_calls.h
@@ -2,7 +2,7 @@
 //
 // The module says where each attempt goes; this carries it out, tells it what came of it, and joins
 // the attempts of one call into one answer. It holds one attempt of a call at a time. What bounds
-// it: Shape::most_held calls (the module refuses more), LiveCall::kMostSends sends a call,
+// it: Shape::most_held calls (the module refuses more), ActiveCall::kMostSends sends a call,
 // kHeldAnswer bytes of an answer that is held whole, EventStream::kLongestEvent of one event.
 #ifndef SHELFLINK_TIER_PROXY_ENDPOINT_CALLS_H_
 #define SHELFLINK_TIER_PROXY_ENDPOINT_CALLS_H_
@@ -20,11 +20,11 @@
 #include "sidecar/upstream.h"
 #include "tier/cluster/view.h"
 #include "tier/policy/module.h"
+#include "tier/proxy/active_call.h"
 #include "tier/proxy/calls.h"
 #include "tier/proxy/endpoint_registry.h"
 #include "tier/proxy/list_state.h"
-#include "tier/proxy/live_call.h"
-#include "tier/proxy/module_feed.h"
+#include "tier/proxy/policy_feed.h"
 
 namespace shelflink::proxy {
 
@@ -34,7 +34,7 @@
     std::string node;
     std::string zone;
     std::uint64_t seed = 0;
-    std::size_t most_held = 4096;
+    std::size_t max_calls = 4096;
     std::function<ListState()> list_state = {};  // Empty: nothing is known of the list's age.
   };
 
@@ -50,7 +50,7 @@
   policy::CallId Start(CallRequest request, CallUser& user) override;
   void Resume(policy::CallId call) override;
   void Cancel(policy::CallId call) override;
-  std::uint32_t BatchRoom() const override;
+  std::uint32_t BatchCapacity() const override;
   policy::BatchState batch() const { return module_.batch(); }
 
   // Tokens of calls at endpoints and of calls that wait, by service.
@@ -64,7 +64,7 @@
   std::uint64_t dials() const { return upstream_.dials(); }
 
  private:
-  using LivePtr = std::shared_ptr<LiveCall>;
+  using CallPtr = std::shared_ptr<ActiveCall>;
   // What the module decided, carried out once it has returned.
   struct Decision {
     enum class Kind { kSend, kRefuse, kFail } kind = Kind::kFail;
@@ -94,32 +94,32 @@
   kelpspring::Reading ReadHead(kelpspring::AttemptKey key,
                                const kelpspring::HttpResponse& head) const;
 
-  LivePtr Find(policy::CallId call) const;
-  LivePtr FindAttempt(kelpspring::AttemptKey key) const;  // Null unless it is the present one.
-  policy::Call DescriptionOf(const LiveCall& live, policy::CallId call) const;
+  CallPtr Find(policy::CallId call) const;
+  CallPtr FindAttempt(kelpspring::AttemptKey key) const;  // Null unless it is the present one.
+  policy::Call DescriptionOf(const ActiveCall& live, policy::CallId call) const;
 
   void CarryOut();
   void StartAttempt(const Decision& decision);
-  bool IsForbidden(LiveCall& live) const;
+  bool IsForbidden(ActiveCall& live) const;
   ListState ListStateNow() const;
-  void CheckList(const LiveCall& live, const KnownEndpoint& known) const;
-  void CheckDraining(const LiveCall& live) const;
+  void CheckList(const ActiveCall& live, const KnownEndpoint& known) const;
+  void CheckDraining(const ActiveCall& live) const;
   void EndAttempt(kelpspring::AttemptKey key, kelpspring::Answer answer);
-  void EndUnsent(const LivePtr& live, kelpspring::AttemptKey key, policy::Outcome outcome);
-  void EndBroken(const LivePtr& live, kelpspring::AttemptKey key, policy::Outcome outcome);
-  void EndStream(const LivePtr& live, kelpspring::AttemptKey key);
-  void EndAnswered(const LivePtr& live, kelpspring::AttemptKey key,
+  void EndUnsent(const CallPtr& live, kelpspring::AttemptKey key, policy::Outcome outcome);
+  void EndBroken(const CallPtr& live, kelpspring::AttemptKey key, policy::Outcome outcome);
+  void EndStream(const CallPtr& live, kelpspring::AttemptKey key);
+  void EndAnswered(const CallPtr& live, kelpspring::AttemptKey key,
                    kelpspring::HttpResponse message);
-  bool CanMove(const LiveCall& live, kelpspring::AttemptKey key) const;
-  void TellHead(const LivePtr& live, const kelpspring::HttpResponse& head,
+  bool CanMove(const ActiveCall& live, kelpspring::AttemptKey key) const;
+  void TellHead(const CallPtr& live, const kelpspring::HttpResponse& head,
                 std::optional<std::uint64_t> length);
-  void TellPendingHead(const LivePtr& live);  // Of a stream, where it has not been told.
-  bool TellEvents(const LivePtr& live, kelpspring::AttemptKey key, std::string_view part);
-  void HandOver(const LivePtr& live, kelpspring::HttpResponse message);
-  void NoteHeard(LiveCall& live);
-  void NoteLoad(const LiveCall& live, const kelpspring::HttpResponse& head);
+  void TellPendingHead(const CallPtr& live);  // Of a stream, where it has not been told.
+  bool TellEvents(const CallPtr& live, kelpspring::AttemptKey key, std::string_view part);
+  void HandOver(const CallPtr& live, kelpspring::HttpResponse message);
+  void NoteHeard(ActiveCall& live);
+  void NoteLoad(const ActiveCall& live, const kelpspring::HttpResponse& head);
   void Tell(kelpspring::AttemptKey key, policy::Outcome outcome, bool again);
-  void Finish(const LivePtr& live, CallEnd end, policy::Micros retry_after = 0);
+  void Finish(const CallPtr& live, CallEnd end, policy::Micros retry_after = 0);
 
   net::Loop& loop_;
   kelpspring::Log& log_;
@@ -127,10 +127,10 @@
   kelpspring::Upstream upstream_;
   EndpointRegistry registry_;
   policy::Module module_;
-  ModuleFeed feed_;
+  PolicyFeed feed_;
   net::TimerPtr timer_;
   policy::CallId last_call_ = 0;
-  std::unordered_map<policy::CallId, LivePtr> calls_;
+  std::unordered_map<policy::CallId, CallPtr> calls_;
   std::deque<Decision> decisions_;
   bool carrying_out_ = false;
 };
--- a/src/tier/proxy/headers.cpp
+++ b/src/tier/proxy/headers.cpp
@@ -6,7 +6,7 @@
 #include <boost/beast/http/rfc7230.hpp>
 #include <charconv>
 
-#include "tier/proxy/names.h"
+#include "tier/proxy/header_names.h"
 
 namespace shelflink::proxy {
 namespace {
@@ -42,7 +42,8 @@
 }
 
 bool IsOfProtocol(std::string_view name) {
-  return Same(name.substr(0, std::string_view(kOwnPrefix).size()), kOwnPrefix);
+  return Same(name.substr(0, std::string_view(kProtocolHeaderPrefix).size()),
+              kProtocolHeaderPrefix);
 }
 
 template <typename Fields, typename Skip>
@@ -89,7 +90,7 @@
   return Selected(request.base(), [](std::string_view name) { return Among(kOwn, name); });
 }
 
-HeaderList AnswerHeaders(const kelpspring::HttpResponse& answer) {
+HeaderList ResponseHeaders(const kelpspring::HttpResponse& answer) {
   return Selected(answer.base(), [](std::string_view) { return false; });
 }
 
--- a/src/tier/proxy/headers.h
+++ b/src/tier/proxy/headers.h
@@ -17,7 +17,7 @@
 // or because Connection names it), the body's framing, keys, and what the proxy itself sets.
 HeaderList RequestHeaders(const kelpspring::HttpRequest& request);
 // What of an endpoint's answer goes back: all but what concerns one connection and the framing.
-HeaderList AnswerHeaders(const kelpspring::HttpResponse& answer);
+HeaderList ResponseHeaders(const kelpspring::HttpResponse& answer);
 
 // The longest name or value that a message holds: Beast throws where one needs more than 16 bits.
 constexpr std::size_t kLongestField = 65000;
--- a/src/tier/proxy/front.cpp
+++ b/src/tier/proxy/http_frontend.cpp
@@ -1,4 +1,4 @@
-#include "tier/proxy/front.h"
+#include "tier/proxy/http_frontend.h"
 
 #include <algorithm>
 #include <array>
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "tier/proxy/batch_requests.h"
+#include "tier/proxy/header_names.h"
 #include "tier/proxy/headers.h"
-#include "tier/proxy/names.h"
 
 namespace shelflink::proxy {
 
@@ -88,9 +88,10 @@
 }
 
 // One request of a client, from its call to the end of its answer.
-class Front::Exchange final : public CallUser {
+class HttpFrontend::Exchange final : public CallUser {
  public:
-  Exchange(Front& front, ClientPtr client, std::string tenant, net::Time due, std::uint64_t body)
+  Exchange(HttpFrontend& front, ClientPtr client, std::string tenant, net::Time due,
+           std::uint64_t body)
       : front_(front),
         client_(std::move(client)),
         tenant_(std::move(tenant)),
@@ -142,7 +143,7 @@
   void OnEnd(const CallSummary& summary) override {
     const ClientPtr client = client_;
     const net::Time due = due_;
-    Front& front = front_;
+    HttpFrontend& front = front_;
     front.Ended(this);
     switch (summary.end) {
       case CallEnd::kComplete:
@@ -162,7 +163,7 @@
     if (!tenant_.empty() && front_.wiring_.count_use) front_.wiring_.count_use(tenant_);
   }
 
-  Front& front_;
+  HttpFrontend& front_;
   ClientPtr client_;
   std::string tenant_;
   net::Time due_;
@@ -173,9 +174,9 @@
   bool gone_ = false;
 };
 
-Front::Front(net::Loop& loop, kelpspring::Log& log, net::ListenerPtr listener,
-             kelpspring::SocketBudget& budget, const kelpspring::Drain& drain, Wiring wiring,
-             milliseconds grace, std::uint64_t memory)
+HttpFrontend::HttpFrontend(net::Loop& loop, kelpspring::Log& log, net::ListenerPtr listener,
+                           kelpspring::SocketBudget& budget, const kelpspring::Drain& drain,
+                           Wiring wiring, milliseconds grace, std::uint64_t memory)
     : loop_(loop),
       wiring_(std::move(wiring)),
       grace_(grace),
@@ -196,19 +197,19 @@
   server_.Open();
 }
 
-Front::~Front() = default;
+HttpFrontend::~HttpFrontend() = default;
 
-void Front::SetConfiguration(std::shared_ptr<const Configuration> configuration) {
+void HttpFrontend::SetConfiguration(std::shared_ptr<const Configuration> configuration) {
   configuration_ = std::move(configuration);
   if (!configuration_) return;
-  levels_ = Levels(*configuration_);
+  levels_ = PriorityLevels(*configuration_);
   kelpspring::ServerTerms terms = TermsOf(configuration_->limits, grace_);
   terms.longest_arrival = [this](const auto& head) { return LongestArrival(head); };
   server_.SetTerms(std::move(terms));
 }
 
 // A request whose body is still coming when its route's time is over is answered then.
-std::optional<milliseconds> Front::LongestArrival(
+std::optional<milliseconds> HttpFrontend::LongestArrival(
     const http::request_header<http::fields>& head) const {
   const kelpspring::Target target = kelpspring::Split(View(head.target()));
   const std::string_view host =
@@ -219,10 +220,10 @@
 }
 
 // The exchange exists no more after this.
-void Front::Ended(Exchange* exchange) { exchanges_.erase(exchange); }
+void HttpFrontend::Ended(Exchange* exchange) { exchanges_.erase(exchange); }
 
 // Jobs are read and ended by paths of their own, under the host of a batch route.
-const Route* Front::BatchRouteOf(std::string_view host, std::string_view path) const {
+const Route* HttpFrontend::BatchRouteOf(std::string_view host, std::string_view path) const {
   if (!IsBatchJobPath(path)) return nullptr;
   for (const Route& route : configuration_->routes) {
     if (route.kind == RouteKind::kBatch &&
@@ -233,7 +234,7 @@
   return nullptr;
 }
 
-void Front::OnRequest(const ClientPtr& client, HttpRequest request, net::Time began) {
+void HttpFrontend::OnRequest(const ClientPtr& client, HttpRequest request, net::Time began) {
   if (!configuration_) return client->Respond(Refusal(kNotReadyRetryAfter));
   const kelpspring::Target target = kelpspring::Split(View(request.target()));
   const std::string_view path = kelpspring::PathOf(target.origin);
@@ -261,8 +262,8 @@
   AnswerBatchRequest(client, std::move(request), caller, *wiring_.batch);
 }
 
-void Front::StartCall(const ClientPtr& client, HttpRequest request, const Route& route,
-                      const Tenant* tenant, net::Time began) {
+void HttpFrontend::StartCall(const ClientPtr& client, HttpRequest request, const Route& route,
+                             const Tenant* tenant, net::Time began) {
   if (request.count(kRequestIdHeader) != 1 || request[kRequestIdHeader].empty()) {
     return client->RespondPlain(400, "Shelflink-Request-Id: expected once\n");
   }
--- a/src/tier/proxy/front.h
+++ b/src/tier/proxy/http_frontend.h
@@ -4,8 +4,8 @@
 // Nothing that cannot be used is passed on. Limits: the configuration's `limits` for what a client
 // may send, Server::MostClients connections, and a quarter of the memory for bodies: beyond that
 // bodies over kHeldBody are refused with 503.
-#ifndef SHELFLINK_TIER_PROXY_FRONT_H_
-#define SHELFLINK_TIER_PROXY_FRONT_H_
+#ifndef SHELFLINK_TIER_PROXY_HTTP_FRONTEND_H_
+#define SHELFLINK_TIER_PROXY_HTTP_FRONTEND_H_
 
 #include <functional>
 #include <memory>
@@ -17,27 +17,27 @@
 #include "sidecar/drain.h"
 #include "sidecar/log.h"
 #include "sidecar/server.h"
-#include "tier/proxy/batch_front.h"
+#include "tier/proxy/batch_job_service.h"
 #include "tier/proxy/calls.h"
-#include "tier/proxy/levels.h"
+#include "tier/proxy/priority_levels.h"
 
 namespace shelflink::proxy {
 
-class Front {
+class HttpFrontend {
  public:
   struct Wiring {
     Calls& calls;
-    BatchFront* batch = nullptr;  // Null: batch jobs are answered with 503.
+    BatchJobService* batch = nullptr;  // Null: batch jobs are answered with 503.
     // An endpoint has begun to run a request of that tenant. May be empty.
     std::function<void(const std::string& tenant)> count_use;
   };
 
-  Front(net::Loop& loop, kelpspring::Log& log, net::ListenerPtr listener,
-        kelpspring::SocketBudget& budget, const kelpspring::Drain& drain, Wiring wiring,
-        std::chrono::milliseconds grace, std::uint64_t memory);
-  ~Front();
-  Front(const Front&) = delete;
-  Front& operator=(const Front&) = delete;
+  HttpFrontend(net::Loop& loop, kelpspring::Log& log, net::ListenerPtr listener,
+               kelpspring::SocketBudget& budget, const kelpspring::Drain& drain, Wiring wiring,
+               std::chrono::milliseconds grace, std::uint64_t memory);
+  ~HttpFrontend();
+  HttpFrontend(const HttpFrontend&) = delete;
+  HttpFrontend& operator=(const HttpFrontend&) = delete;
 
   // In force from the next request on.
   void SetConfiguration(std::shared_ptr<const configuration::Configuration> configuration);
@@ -69,11 +69,11 @@
   std::uint64_t most_bodies_;        // Bytes of bodies held in all.
   std::uint64_t called_bodies_ = 0;  // Of requests whose calls are under way.
   std::shared_ptr<const configuration::Configuration> configuration_;
-  Levels levels_;
+  PriorityLevels levels_;
   std::unordered_map<Exchange*, std::unique_ptr<Exchange>> exchanges_;
   kelpspring::Server server_;
 };
 
 }  // namespace shelflink::proxy
 
-#endif  // SHELFLINK_TIER_PROXY_FRONT_H_
+#endif  // SHELFLINK_TIER_PROXY_HTTP_FRONTEND_H_
--- a/src/tier/proxy/outgoing_request.cpp
+++ b/src/tier/proxy/outgoing_request.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 
 #include "mix.h"
+#include "tier/proxy/header_names.h"
 #include "tier/proxy/headers.h"
-#include "tier/proxy/names.h"
 
 namespace shelflink::proxy {
 
--- a/src/tier/proxy/module_feed.cpp
+++ b/src/tier/proxy/policy_feed.cpp
@@ -1,4 +1,4 @@
-#include "tier/proxy/module_feed.h"
+#include "tier/proxy/policy_feed.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void ModuleFeed::OnView(policy::Micros now, const cluster::View& view) {
+void PolicyFeed::OnView(policy::Micros now, const cluster::View& view) {
   const bool fresh_configuration = view.configuration != configuration_;
   const bool fresh_list = view.endpoints != list_;
   const bool fresh_members = view.members != members_;
@@ -30,13 +30,13 @@
   if (fresh_configuration || fresh_list || fresh_owners) TellServices(now);
 }
 
-bool ModuleFeed::TellShape(policy::Micros now, const cluster::View& view) {
-  if (view.configuration) levels_ = Levels(*view.configuration);
+bool PolicyFeed::TellShape(policy::Micros now, const cluster::View& view) {
+  if (view.configuration) levels_ = PriorityLevels(*view.configuration);
   policy::Shape shape;
   shape.node = options_.node;
   shape.zone = options_.zone;
   shape.levels = levels_.count();
-  shape.most_held = options_.most_held;
+  shape.most_held = options_.max_calls;
   std::vector<policy::BatchOwners::Sidecar> ready;
   if (view.members) ready = ReadyProxies(*view.members);
   shape.sidecars = static_cast<std::uint32_t>(std::max<std::size_t>(1, ready.size()));
@@ -46,7 +46,7 @@
   return batch_owners_.SetSidecars(std::move(ready));
 }
 
-void ModuleFeed::TellServices(policy::Micros now) {
+void PolicyFeed::TellServices(policy::Micros now) {
   auto services = registry_.Services(configuration_.get(), list_.get(), now);
   for (auto it = services_.begin(); it != services_.end();) {
     const auto present = it++;
--- a/src/tier/proxy/module_feed.h
+++ b/src/tier/proxy/policy_feed.h
@@ -1,7 +1,7 @@
 // What the decision module is told of the cluster's view: the levels and sidecars that there are,
 // the services and their endpoints. Tells only what has changed.
-#ifndef SHELFLINK_TIER_PROXY_MODULE_FEED_H_
-#define SHELFLINK_TIER_PROXY_MODULE_FEED_H_
+#ifndef SHELFLINK_TIER_PROXY_POLICY_FEED_H_
+#define SHELFLINK_TIER_PROXY_POLICY_FEED_H_
 
 #include <cstddef>
 #include <memory>
@@ -12,25 +12,25 @@
 #include "tier/policy/batch_owners.h"
 #include "tier/policy/module.h"
 #include "tier/proxy/endpoint_registry.h"
-#include "tier/proxy/levels.h"
+#include "tier/proxy/priority_levels.h"
 
 namespace shelflink::proxy {
 
-class ModuleFeed {
+class PolicyFeed {
  public:
   struct Options {
     std::string node;
     std::string zone;
-    std::size_t most_held = 0;
+    std::size_t max_calls = 0;
   };
 
-  ModuleFeed(policy::Module& module, EndpointRegistry& registry, Options options)
+  PolicyFeed(policy::Module& module, EndpointRegistry& registry, Options options)
       : module_(module), registry_(registry), options_(std::move(options)) {}
 
   void OnView(policy::Micros now, const cluster::View& view);
   // The registry's endpoints have changed.
   void TellServices(policy::Micros now);
-  const Levels& levels() const { return levels_; }
+  const PriorityLevels& levels() const { return levels_; }
 
  private:
   // Returns whether the owners of endpoints for batch calls have changed.
@@ -43,10 +43,10 @@
   std::shared_ptr<const configuration::Configuration> configuration_;
   std::shared_ptr<const cluster::EndpointList> list_;
   std::shared_ptr<const cluster::Members> members_;
-  Levels levels_;
+  PriorityLevels levels_;
   policy::BatchOwners batch_owners_;
 };
 
 }  // namespace shelflink::proxy
 
-#endif  // SHELFLINK_TIER_PROXY_MODULE_FEED_H_
+#endif  // SHELFLINK_TIER_PROXY_POLICY_FEED_H_
--- a/src/tier/proxy/levels.h
+++ b/src/tier/proxy/priority_levels.h
@@ -1,7 +1,7 @@
 // Priority levels of a configuration: one for each priority that a route or a tenant has, the most
 // urgent first, and a last one for batch items. Pure.
-#ifndef SHELFLINK_TIER_PROXY_LEVELS_H_
-#define SHELFLINK_TIER_PROXY_LEVELS_H_
+#ifndef SHELFLINK_TIER_PROXY_PRIORITY_LEVELS_H_
+#define SHELFLINK_TIER_PROXY_PRIORITY_LEVELS_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -11,10 +11,10 @@
 
 namespace shelflink::proxy {
 
-class Levels {
+class PriorityLevels {
  public:
-  Levels() = default;
-  explicit Levels(const configuration::Configuration& configuration) {
+  PriorityLevels() = default;
+  explicit PriorityLevels(const configuration::Configuration& configuration) {
     for (const configuration::Route& route : configuration.routes) {
       if (route.kind != configuration::RouteKind::kBatch) priorities_.push_back(route.priority);
     }
@@ -41,4 +41,4 @@
 
 }  // namespace shelflink::proxy
 
-#endif  // SHELFLINK_TIER_PROXY_LEVELS_H_
+#endif  // SHELFLINK_TIER_PROXY_PRIORITY_LEVELS_H_
--- a/src/tier/proxy/program.cpp
+++ b/src/tier/proxy/program.cpp
@@ -14,7 +14,7 @@
 #include "tier/cluster/agent.h"
 #include "tier/foundation/log.h"
 #include "tier/proxy/endpoint_calls.h"
-#include "tier/proxy/front.h"
+#include "tier/proxy/http_frontend.h"
 #include "tier/proxy/list_fallback.h"
 #include "tier/proxy/metrics.h"
 #include "tier/proxy/metrics_answer.h"
@@ -155,7 +155,7 @@
     figures.calls = calls.held();
     figures.endpoint_connections = calls.dials();
     figures.batch = calls.batch();
-    figures.batch_room = calls.BatchRoom();
+    figures.batch_room = calls.BatchCapacity();
     figures.batch_runs = BatchRuns();
     return figures;
   }
@@ -256,7 +256,7 @@
   EndpointCalls calls;
   batch::Front batch_front;
   batch::Runner runner;
-  Front front;
+  HttpFrontend front;
   kelpspring::Server ready_server;
   net::TimerPtr load_timer;
   net::TimerPtr leave_timer;
--- a/src/tier/proxy/answer_reading.cpp
+++ b/src/tier/proxy/response_classifier.cpp
@@ -1,8 +1,8 @@
-#include "tier/proxy/answer_reading.h"
+#include "tier/proxy/response_classifier.h"
 
 #include <boost/beast/core/string.hpp>
 
-#include "tier/proxy/names.h"
+#include "tier/proxy/header_names.h"
 
 namespace shelflink::proxy {
 
@@ -27,7 +27,8 @@
   return boost::beast::iequals(type.substr(0, type.find(';')), "text/event-stream");
 }
 
-kelpspring::Reading ReadAnswerHead(const ExpectedAnswer& expected, const HttpResponse& head) {
+kelpspring::Reading ClassifyResponseHead(const ExpectedResponse& expected,
+                                         const HttpResponse& head) {
   const unsigned status = head.result_int();
   const std::string_view id = View(head[kRequestIdHeader]);
   if (!id.empty() && id != expected.request_id) return {OutcomeCode::kError, AnswerUse::kSkip};
@@ -37,7 +38,7 @@
   const bool success = status / 100 == 2;
   // Without the id it may belong to anybody, without the stamp it is no endpoint's success, and a
   // promise that the endpoint did not mean must not be passed on.
-  if (id.empty() || (success && head[kStampHeader].empty()) || IsPromise(status)) {
+  if (id.empty() || (success && head[kResponseStampHeader].empty()) || IsPromise(status)) {
     return {OutcomeCode::kError, AnswerUse::kHold};
   }
   const bool stream = success && expected.may_stream && IsEventStream(head);
--- a/tests/fuzz/tier_listeners.cpp
+++ b/tests/fuzz/tier_listeners.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "fuzz/tier_targets.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 #include "sidecar/server.h"
 #include "tier/proxy/metrics_answer.h"
 #include "tier/transport/frames.h"
@@ -15,12 +15,12 @@
 namespace fuzz {
 namespace {
 
+using proxy_test::Client;
+using proxy_test::Endpoint;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::ProxyFixture;
 using shelflink::transport::Hub;
-using stand_in::Client;
-using stand_in::Endpoint;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::World;
 
 // Beyond each time-out that a listener keeps for what has not come whole.
 constexpr auto kWhole = std::chrono::seconds(60);
@@ -44,18 +44,20 @@
 
 void MustBeWhole(const Message& answer, int status, const char* who) {
   if (!answer.whole || answer.Status() != status) {
-    throw Breach(std::string(who) + " got " + (answer.whole ? answer.first : "no whole answer"));
+    throw Breach(std::string(who) + " got " +
+                 (answer.whole ? answer.start_line : "no whole answer"));
   }
 }
 
 // All that came on a connection must be answers.
 void MustBeAnswers(Client& client) {
   while (true) {
-    const Message answer = client.Answer();
+    const Message answer = client.NextResponse();
     if (!answer.whole) break;
   }
-  if (!client.came.empty() && client.came.substr(0, 9) != "HTTP/1.1 " && client.came.size() >= 9) {
-    throw Breach("what is no answer: " + client.came.substr(0, 40));
+  if (!client.received.empty() && client.received.substr(0, 9) != "HTTP/1.1 " &&
+      client.received.size() >= 9) {
+    throw Breach("what is no answer: " + client.received.substr(0, 40));
   }
 }
 
@@ -63,19 +65,19 @@
 
 void PlayFront(std::string_view bytes) {
   const Parts parts(bytes);
-  World world;
-  world.Add(stand_in::Answers("served"));
-  auto odd = world.Ask(parts.first);
+  ProxyFixture world;
+  world.Add(proxy_test::RespondWith("served"));
+  auto odd = world.SendRequest(parts.first);
   world.Run(kBetweenParts);
   odd->Send(parts.second);
-  auto good = world.Ask(stand_in::Request("/post/a", "0c0d"));
+  auto good = world.SendRequest(proxy_test::Request("/post/a", "0c0d"));
   world.Run(kServed);
-  const Message answer = good->Answer();
+  const Message answer = good->NextResponse();
   MustBeWhole(answer, 200, "the next request");
   if (answer.body != "served") throw Breach("the next request got another body");
   MustBeAnswers(*odd);
-  odd->Leave();
-  good->Leave();
+  odd->Disconnect();
+  good->Disconnect();
   world.Run(kWhole);
   if (world.calls.held() + world.front.clients() > 0) throw Breach("something is left at rest");
 }
@@ -171,9 +173,9 @@
   odd->Send(parts.second);
   auto good = stage.Ask("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
   stage.Run(kServed);
-  MustBeWhole(good->Answer(), 200, "a readiness check");
-  odd->Leave();
-  good->Leave();
+  MustBeWhole(good->NextResponse(), 200, "a readiness check");
+  odd->Disconnect();
+  good->Disconnect();
   stage.Run(kWhole);
   if (stage.server.clients() + stage.budget.open > 1) throw Breach("something is left at rest");
   if (stage.server.body_bytes() > 0) throw Breach("a body counts as held at rest");
@@ -215,7 +217,7 @@
   network.RunUntil(network.Now() + std::chrono::seconds(2));
   if (answer != "still there") throw Breach("the next call got: " + answer);
   for (const Hub::Reply& reply : unanswered) reply(std::string("late"));
-  odd.Leave();
+  odd.Disconnect();
   network.RunUntil(network.Now() + std::chrono::seconds(10));
   network.Clear();
 }
@@ -225,27 +227,28 @@
   constexpr const char* kPaths[] = {"/get/a", "/post/a", "/stream/a", "/resume/a"};
   const unsigned sort = bytes.empty() ? 0 : static_cast<unsigned char>(bytes[0]);
   const Parts parts(bytes.empty() ? bytes : bytes.substr(1));
-  World world;
+  ProxyFixture world;
   bool first = true;
-  world.Add([&](Endpoint::Line& line, const Message& request) {
-    if (!std::exchange(first, false)) return line.Write(Endpoint::Whole(request, "the next one's"));
+  world.Add([&](Endpoint::Connection& line, const Message& request) {
+    if (!std::exchange(first, false))
+      return line.Write(Endpoint::Response(request, "the next one's"));
     line.Write(parts.first);
     const bool ends = (sort & 0x80U) != 0;
-    world.endpoints[0]->Later(kBetweenParts, [&line, &parts, ends] {
+    world.endpoints[0]->RunAfter(kBetweenParts, [&line, &parts, ends] {
       if (line.open()) line.Write(parts.second);
       if (line.open() && ends) line.Close();
     });
   });
-  auto client = world.Ask(stand_in::Request(kPaths[sort % 4], "0a0b"));
+  auto client = world.SendRequest(proxy_test::Request(kPaths[sort % 4], "0a0b"));
   world.Run(kServed);
-  auto next = world.Ask(stand_in::Request("/post/a", "0c0d"));
+  auto next = world.SendRequest(proxy_test::Request("/post/a", "0c0d"));
   world.Run(kServed);
-  const Message answer = next->Answer();
+  const Message answer = next->NextResponse();
   MustBeWhole(answer, 200, "the next request");
   if (answer.body != "the next one's") throw Breach("the next request got another body");
   world.Run(kWhole);
-  client->Leave();
-  next->Leave();
+  client->Disconnect();
+  next->Disconnect();
   world.Run(kWhole);
   if (world.calls.held() + world.front.clients() > 0) throw Breach("something is left at rest");
 }
--- a/tests/fuzz/tier_parsers.cpp
+++ b/tests/fuzz/tier_parsers.cpp
@@ -2,7 +2,7 @@
 #include <string>
 
 #include "fuzz/tier_targets.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 #include "tier/batch/job_json.h"
 #include "tier/batch/job_records.h"
 #include "tier/batch/messages.h"
@@ -27,7 +27,7 @@
 namespace coordination = shelflink::coordination;
 namespace operator_api = shelflink::operator_api;
 namespace transport = shelflink::transport;
-using stand_in::milliseconds;
+using proxy_test::milliseconds;
 
 const char* const kInForce = R"({"configVersion":7,"routes":[
 {"name":"stream","hostname":"a.example","pathPrefix":"/stream/","routeKind":"streaming",
@@ -39,12 +39,13 @@
 
 // One that is taken is put in force at a proxy, which then serves a request with it.
 void Use(const configuration::Configuration& taken) {
-  stand_in::World world;
-  world.Add(stand_in::Answers("served"));
+  proxy_test::ProxyFixture world;
+  world.Add(proxy_test::RespondWith("served"));
   world.SetConfiguration(taken);
-  auto client = world.Ask(stand_in::Request("/post/a", "0a0b", "Shelflink-Credential: key-1\r\n"));
+  auto client =
+      world.SendRequest(proxy_test::Request("/post/a", "0a0b", "Shelflink-Credential: key-1\r\n"));
   world.Run(milliseconds(100));
-  client->Leave();
+  client->Disconnect();
   world.Run(std::chrono::seconds(1));
 }
 
@@ -195,7 +196,7 @@
 }
 
 void PlayJob(std::string_view bytes) {
-  static const configuration::Configuration kSample = stand_in::Sample();
+  static const configuration::Configuration kSample = proxy_test::SampleConfiguration();
   const configuration::Route& route = kSample.routes.back();
   const auto items = batch::ParseSubmission(bytes, kSample, route, "a.example");
   if (!items && items.error().empty()) throw Breach("refused without a finding");
--- a/tests/tier/batch/batch_judge.h
+++ b/tests/tier/batch/batch_judge.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "net/loop.h"
-#include "tier/proxy/batch_front.h"
+#include "tier/proxy/batch_job_service.h"
 
 namespace shelflink::batch {
 
--- a/tests/tier/batch/scripted_calls.h
+++ b/tests/tier/batch/scripted_calls.h
@@ -32,7 +32,7 @@
     open.erase(call);
     cancelled.push_back(call);
   }
-  std::uint32_t BatchRoom() const override { return room; }
+  std::uint32_t BatchCapacity() const override { return room; }
 
   // The call with that item's id; 0: none is open.
   policy::CallId CallOf(const std::string& item) const {
--- a/tests/tier/batch/streaming_endpoints.h
+++ b/tests/tier/batch/streaming_endpoints.h
@@ -37,7 +37,7 @@
   }
   void Resume(policy::CallId) override {}
   void Cancel(policy::CallId call) override { calls_.erase(call); }
-  std::uint32_t BatchRoom() const override {
+  std::uint32_t BatchCapacity() const override {
     return calls_.size() >= kMostCalls ? 0 : kMostCalls - static_cast<std::uint32_t>(calls_.size());
   }
 
--- a/tests/tier/operator_api/cut_orders_test.cpp
+++ b/tests/tier/operator_api/cut_orders_test.cpp
@@ -27,7 +27,7 @@
 std::ostream& operator<<(std::ostream& out, const Outcome& outcome) {
   out << "{orders:";
   for (const std::string& order : outcome.orders) out << " <" << order << ">";
-  return out << ", answered: " << stand_in::Shown(outcome.answered)
+  return out << ", answered: " << proxy_test::Shown(outcome.answered)
              << (outcome.ended ? ", ended}" : "}");
 }
 
@@ -79,7 +79,7 @@
     return outcome;
   }
   void CheckCuts(const std::string& text, std::size_t step) {
-    BOOST_TEST_CONTEXT(stand_in::Shown(text)) {
+    BOOST_TEST_CONTEXT(proxy_test::Shown(text)) {
       const Outcome uncut = Play(text, text.size());
       for (std::size_t cut = 0; cut < text.size(); cut += step) {
         BOOST_TEST_CONTEXT("cut at " << cut) { BOOST_TEST(Play(text, cut) == uncut); }
@@ -123,7 +123,7 @@
   constexpr std::size_t kStep = 23;
   for (const std::string& order : {kOrders[0], kOrders[1]}) {
     std::size_t number = 0;
-    for (const std::string& mutation : stand_in::Mutations(order)) {
+    for (const std::string& mutation : proxy_test::Mutations(order)) {
       if (++number % 21 == 0) CheckCuts(mutation, kStep + number % 5);
     }
     BOOST_TEST(Serves());
--- a/tests/tier/proxy/batch_requests_test.cpp
+++ b/tests/tier/proxy/batch_requests_test.cpp
@@ -2,20 +2,20 @@
 #define BOOST_TEST_MODULE proxy_batch_requests
 #include <boost/test/unit_test.hpp>
 
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 
 namespace proxy = shelflink::proxy;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::ProxyFixture;
 using shelflink::ErrorCode;
 using shelflink::MakeError;
 using shelflink::Result;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::World;
 
 namespace {
 
 // A batch part that keeps what it was asked and answers as it is told to.
-class Batch : public proxy::BatchFront {
+class Batch : public proxy::BatchJobService {
  public:
   void Submit(const proxy::BatchCaller& caller, proxy::BatchSubmission submission,
               Reply<void> reply) override {
@@ -57,45 +57,48 @@
 };
 
 struct Desk {
-  Desk() : configuration(stand_in::Sample()), world(1, Keyed(), 64 << 20, &batch) {}
-  ~Desk() { batch.kept.clear(); }  // They hold clients, which must not outlive the world.
+  Desk()
+      : configuration(proxy_test::SampleConfiguration()), fixture(1, Keyed(), 64 << 20, &batch) {}
+  ~Desk() { batch.kept.clear(); }  // They hold clients, which must not outlive the fixture.
   Desk(const Desk&) = delete;
   Desk& operator=(const Desk&) = delete;
-  static stand_in::Configuration Keyed() {
-    auto keyed = stand_in::Sample();
+  static proxy_test::Configuration Keyed() {
+    auto keyed = proxy_test::SampleConfiguration();
     keyed.routes[5].is_public = false;
     keyed.Index();
     return keyed;
   }
-  Message Ask(const std::string& line, const std::string& more = "", const std::string& body = "") {
-    auto client =
-        world.Ask(line + " HTTP/1.1\r\nHost: a.example\r\nShelflink-Credential: key-1\r\n" + more +
-                  "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-    world.Run(milliseconds(50));
-    return client->Answer();
+  Message SendRequest(const std::string& line, const std::string& more = "",
+                      const std::string& body = "") {
+    auto client = fixture.SendRequest(
+        line + " HTTP/1.1\r\nHost: a.example\r\nShelflink-Credential: key-1\r\n" + more +
+        "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    fixture.Run(milliseconds(50));
+    return client->NextResponse();
   }
   Batch batch;
-  stand_in::Configuration configuration;
-  World world;
+  proxy_test::Configuration configuration;
+  ProxyFixture fixture;
 };
 
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(jobs_are_submitted_read_and_ended) {
   Desk desk;
-  BOOST_TEST(desk.Ask("POST /jobs/x", "Shelflink-Request-Id: j1\r\n", "{}").Status() == 202);
+  BOOST_TEST(desk.SendRequest("POST /jobs/x", "Shelflink-Request-Id: j1\r\n", "{}").Status() ==
+             202);
   BOOST_TEST(desk.batch.asked == "submit ten j1 {}");
-  const Message page = desk.Ask("GET /lots/j1?afterId=12", "Shelflink-Wait-Ms: 1000\r\n");
+  const Message page = desk.SendRequest("GET /lots/j1?afterId=12", "Shelflink-Wait-Ms: 1000\r\n");
   BOOST_TEST(page.Status() == 200);
   BOOST_TEST(
       page.body ==
       R"({"total":2,"nextToken":13,"results":[{"id":"i","state":"completed","text":"text"}]})");
   BOOST_TEST(desk.batch.asked == "read ten j1 12 1000");
-  desk.Ask("GET /lots/j1");
+  desk.SendRequest("GET /lots/j1");
   BOOST_TEST(desk.batch.asked == "read ten j1 0 0");
-  BOOST_TEST(desk.Ask("GET /items/j1?id=e5").body == std::string("\x01\x00raw", 5));
+  BOOST_TEST(desk.SendRequest("GET /items/j1?id=e5").body == std::string("\x01\x00raw", 5));
   BOOST_TEST(desk.batch.asked == "body ten j1 e5");
-  BOOST_TEST(desk.Ask("DELETE /lots/j1").Status() == 200);
+  BOOST_TEST(desk.SendRequest("DELETE /lots/j1").Status() == 200);
   BOOST_TEST(desk.batch.asked == "end ten j1");
 }
 
@@ -110,43 +113,43 @@
     BOOST_TEST_CONTEXT(static_cast<int>(code)) {
       Desk desk;
       desk.batch.error = MakeError(code, "why");
-      BOOST_TEST(desk.Ask("POST /jobs/x", "Shelflink-Request-Id: j1\r\n", "{}").Status() ==
+      BOOST_TEST(desk.SendRequest("POST /jobs/x", "Shelflink-Request-Id: j1\r\n", "{}").Status() ==
                  statuses.first);
-      BOOST_TEST(desk.Ask("GET /lots/j1").Status() == statuses.second);
-      BOOST_TEST(desk.Ask("DELETE /lots/j1").Status() == statuses.second);
-      BOOST_TEST(desk.Ask("GET /items/j1?id=e").Status() == statuses.second);
+      BOOST_TEST(desk.SendRequest("GET /lots/j1").Status() == statuses.second);
+      BOOST_TEST(desk.SendRequest("DELETE /lots/j1").Status() == statuses.second);
+      BOOST_TEST(desk.SendRequest("GET /items/j1?id=e").Status() == statuses.second);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(what_cannot_be_used_is_not_asked) {
   Desk desk;
-  BOOST_TEST(desk.Ask("POST /jobs/x", "", "{}").Status() == 400);
-  BOOST_TEST(desk.Ask("GET /lots/j1?afterId=x").Status() == 400);
-  BOOST_TEST(desk.Ask("GET /items/j1").Status() == 400);
-  BOOST_TEST(desk.Ask("PUT /lots/j1").Status() == 400);
-  BOOST_TEST(desk.Ask("GET /jobs/x").Status() == 400);
+  BOOST_TEST(desk.SendRequest("POST /jobs/x", "", "{}").Status() == 400);
+  BOOST_TEST(desk.SendRequest("GET /lots/j1?afterId=x").Status() == 400);
+  BOOST_TEST(desk.SendRequest("GET /items/j1").Status() == 400);
+  BOOST_TEST(desk.SendRequest("PUT /lots/j1").Status() == 400);
+  BOOST_TEST(desk.SendRequest("GET /jobs/x").Status() == 400);
   BOOST_TEST(desk.batch.asked.empty());
-  auto keyless = desk.world.Ask("GET /lots/j1 HTTP/1.1\r\nHost: a.example\r\n\r\n");
-  desk.world.Run(milliseconds(50));
-  BOOST_TEST(keyless->Answer().Status() == 401);
-  auto elsewhere = desk.world.Ask("GET /lots/j1 HTTP/1.1\r\nHost: b.example\r\n\r\n");
-  desk.world.Run(milliseconds(50));
-  BOOST_TEST(elsewhere->Answer().Status() == 404);
+  auto keyless = desk.fixture.SendRequest("GET /lots/j1 HTTP/1.1\r\nHost: a.example\r\n\r\n");
+  desk.fixture.Run(milliseconds(50));
+  BOOST_TEST(keyless->NextResponse().Status() == 401);
+  auto elsewhere = desk.fixture.SendRequest("GET /lots/j1 HTTP/1.1\r\nHost: b.example\r\n\r\n");
+  desk.fixture.Run(milliseconds(50));
+  BOOST_TEST(elsewhere->NextResponse().Status() == 404);
   BOOST_TEST(desk.batch.asked.empty());
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_that_comes_after_its_client_left_harms_nobody) {
   Desk desk;
   desk.batch.keep = true;
-  auto client = desk.world.Ask(
+  auto client = desk.fixture.SendRequest(
       "POST /jobs/x HTTP/1.1\r\nHost: a.example\r\nShelflink-Credential: key-1\r\n"
       "Shelflink-Request-Id: j1\r\nContent-Length: 2\r\n\r\n{}");
-  desk.world.Run(milliseconds(50));
+  desk.fixture.Run(milliseconds(50));
   BOOST_REQUIRE(desk.batch.kept.size() == 1U);
-  client->Leave();
-  desk.world.Run(milliseconds(50));
+  client->Disconnect();
+  desk.fixture.Run(milliseconds(50));
   desk.batch.kept.front()(BOOST_OUTCOME_V2_NAMESPACE::success());
-  desk.world.Run(milliseconds(50));
-  BOOST_TEST(client->came.empty());
+  desk.fixture.Run(milliseconds(50));
+  BOOST_TEST(client->received.empty());
 }
--- a/tests/tier/proxy/cut_listener.h
+++ b/tests/tier/proxy/cut_listener.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "proxy/mutations.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 #include "sidecar/server.h"
 
-namespace stand_in {
+namespace proxy_test {
 
 constexpr auto kBetweenParts = milliseconds(20);
 constexpr auto kServed = milliseconds(60);
@@ -23,7 +23,7 @@
 struct Outcome {
   std::vector<std::string> dispatched;  // Head and body of each request.
   std::string answered;
-  bool over = false;
+  bool closed = false;
 
   bool operator==(const Outcome&) const = default;
 };
@@ -31,7 +31,7 @@
 inline std::ostream& operator<<(std::ostream& out, const Outcome& outcome) {
   out << "{dispatched:";
   for (const std::string& request : outcome.dispatched) out << " <" << Shown(request) << ">";
-  return out << ", answered: " << Shown(outcome.answered) << (outcome.over ? ", over}" : "}");
+  return out << ", answered: " << Shown(outcome.answered) << (outcome.closed ? ", over}" : "}");
 }
 
 // A listener that reads each request to its end and answers with what it has read, so that every
@@ -69,7 +69,7 @@
     Run(kServed);
     std::vector<Outcome> outcomes;
     for (const auto& client : clients) outcomes.push_back(OutcomeOf(*client));
-    for (const auto& client : clients) client->Leave();
+    for (const auto& client : clients) client->Disconnect();
     Run(milliseconds(10));
     return outcomes;
   }
@@ -78,12 +78,12 @@
     const auto client = Dial();
     client->Send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     Run(milliseconds(10));
-    const bool ready = client->Answer().Status() == 200;
-    client->Leave();
+    const bool ready = client->NextResponse().Status() == 200;
+    client->Disconnect();
     Run(milliseconds(10));
     return ready;
   }
-  std::unique_ptr<Client> Ask(const std::string& text) {
+  std::unique_ptr<Client> SendRequest(const std::string& text) {
     auto client = Dial();
     client->Send(text);
     return client;
@@ -109,27 +109,27 @@
     if (serve) return serve(client);
     std::string text = kelpspring::HeadOf(request) + request.body();
     if (arrival.whole) return client->RespondPlain(200, text);
-    ReadOn(client, std::move(text));
+    ReadBody(client, std::move(text));
   }
-  void ReadOn(const ClientPtr& client, std::string text) {
+  void ReadBody(const ClientPtr& client, std::string text) {
     client->Pull([this, client, text = std::move(text)](const std::string& part, bool last) {
       if (last) return client->RespondPlain(200, text + part);
-      ReadOn(client, text + part);
+      ReadBody(client, text + part);
     });
   }
   static Outcome OutcomeOf(Client& client) {
     Outcome outcome;
-    outcome.over = client.over;
+    outcome.closed = client.closed;
     while (true) {
-      const Message answer = client.Answer();
+      const Message answer = client.NextResponse();
       if (!answer.whole) break;
       if (answer.Status() == 200) {
         outcome.dispatched.push_back(answer.body);
       } else {
-        outcome.answered += answer.first + " " + answer.body;
+        outcome.answered += answer.start_line + " " + answer.body;
       }
     }
-    outcome.answered += client.came;
+    outcome.answered += client.received;
     return outcome;
   }
 
@@ -142,6 +142,6 @@
   kelpspring::Server server_;
 };
 
-}  // namespace stand_in
+}  // namespace proxy_test
 
 #endif  // TESTS_TIER_PROXY_CUT_LISTENER_H_
--- a/tests/tier/proxy/cut_mutations_test.cpp
+++ b/tests/tier/proxy/cut_mutations_test.cpp
@@ -10,10 +10,10 @@
 
 #include "proxy/cut_listener.h"
 
-using stand_in::Listener;
-using stand_in::Mutations;
-using stand_in::Outcome;
-using stand_in::Shown;
+using proxy_test::Listener;
+using proxy_test::Mutations;
+using proxy_test::Outcome;
+using proxy_test::Shown;
 
 namespace {
 
@@ -52,11 +52,11 @@
 }  // namespace
 
 BOOST_DATA_TEST_CASE(requests_with_a_length, boost::unit_test::data::make(kBounds)) {
-  CheckMutations(sample, stand_in::kRequestWithLength);
+  CheckMutations(sample, proxy_test::kRequestWithLength);
 }
 
 BOOST_DATA_TEST_CASE(requests_in_chunks, boost::unit_test::data::make(kBounds)) {
-  CheckMutations(sample, stand_in::kRequestInChunks);
+  CheckMutations(sample, proxy_test::kRequestInChunks);
 }
 
 BOOST_DATA_TEST_CASE(readiness_checks, boost::unit_test::data::make(kBounds)) {
--- a/tests/tier/proxy/cut_requests_test.cpp
+++ b/tests/tier/proxy/cut_requests_test.cpp
@@ -7,15 +7,15 @@
 
 #include "proxy/cut_listener.h"
 
-using stand_in::Answers;
-using stand_in::kBetweenParts;
-using stand_in::kServed;
-using stand_in::Listener;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Request;
-using stand_in::Shown;
-using stand_in::World;
+using proxy_test::kBetweenParts;
+using proxy_test::kServed;
+using proxy_test::Listener;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::ProxyFixture;
+using proxy_test::Request;
+using proxy_test::RespondWith;
+using proxy_test::Shown;
 
 // A status line inside an answer's body would pass for a part of it.
 BOOST_AUTO_TEST_CASE(a_rest_that_is_spoilt_breaks_off_an_answer_that_has_begun) {
@@ -28,13 +28,13 @@
     client->Part("a part");
   };
   const auto client =
-      listener.Ask("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n");
+      listener.SendRequest("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n");
   listener.Run(kBetweenParts);
   client->Send("no chunk\r\n");
   listener.Run(kServed);
-  BOOST_TEST(client->over);
+  BOOST_TEST(client->closed);
   BOOST_TEST(gone == 1);
-  BOOST_TEST(client->came.find("HTTP/1.1", 1) == std::string::npos);
+  BOOST_TEST(client->received.find("HTTP/1.1", 1) == std::string::npos);
   BOOST_TEST(listener.Ready());
   BOOST_TEST(listener.clients() == 0U);
 }
@@ -47,12 +47,12 @@
     client->Pull([](const std::string&, bool) {});
   };
   const auto client =
-      listener.Ask("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n");
+      listener.SendRequest("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n");
   listener.Run(kBetweenParts);
   client->Send("no chunk\r\n");
   listener.Run(kServed);
-  BOOST_TEST(client->Answer().Status() == 503);
-  BOOST_TEST(client->came.empty());
+  BOOST_TEST(client->NextResponse().Status() == 503);
+  BOOST_TEST(client->received.empty());
 }
 
 namespace {
@@ -71,43 +71,43 @@
   return out << ", answered: " << Shown(served.answered) << "}";
 }
 
-Served ServedOf(World& world, const std::string& text, std::size_t cut) {
-  stand_in::Endpoint& endpoint = *world.endpoints.front();
+Served ServedOf(ProxyFixture& fixture, const std::string& text, std::size_t cut) {
+  proxy_test::Endpoint& endpoint = *fixture.endpoints.front();
   endpoint.requests.clear();
-  const auto client = world.Ask(text.substr(0, cut));
-  world.Run(kBetweenParts);
+  const auto client = fixture.SendRequest(text.substr(0, cut));
+  fixture.Run(kBetweenParts);
   if (cut < text.size()) BOOST_TEST(endpoint.requests.size() <= 1U);
   client->Send(text.substr(cut));
-  world.Run(kServed);
+  fixture.Run(kServed);
   Served served;
   for (const Message& request : endpoint.requests) {
-    served.seen.push_back(request.first + "\n" + request.Value("Shelflink-Request-Id") + "\n" +
+    served.seen.push_back(request.start_line + "\n" + request.Value("Shelflink-Request-Id") + "\n" +
                           request.body);
   }
-  served.answered = client->came;
-  client->Leave();
-  world.Run(milliseconds(10));
+  served.answered = client->received;
+  client->Disconnect();
+  fixture.Run(milliseconds(10));
   return served;
 }
 
 void CheckFront(const std::string& text) {
-  World world;
-  world.Add(Answers("served"));
-  const Served uncut = ServedOf(world, text, text.size());
+  ProxyFixture fixture;
+  fixture.Add(RespondWith("served"));
+  const Served uncut = ServedOf(fixture, text, text.size());
   BOOST_TEST(uncut.seen.size() == 2U);
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
-    BOOST_TEST_CONTEXT("cut at " << cut) { BOOST_TEST(ServedOf(world, text, cut) == uncut); }
+    BOOST_TEST_CONTEXT("cut at " << cut) { BOOST_TEST(ServedOf(fixture, text, cut) == uncut); }
   }
-  BOOST_TEST(world.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.held() == 0U);
 }
 
 }  // namespace
 
 // The front itself, with an endpoint behind it.
 BOOST_AUTO_TEST_CASE(at_the_front_with_a_length) {
-  CheckFront(stand_in::kRequestWithLength + Request("/post/b", "0c0d"));
+  CheckFront(proxy_test::kRequestWithLength + Request("/post/b", "0c0d"));
 }
 
 BOOST_AUTO_TEST_CASE(at_the_front_in_chunks) {
-  CheckFront(stand_in::kRequestInChunks + Request("/post/b", "0c0d"));
+  CheckFront(proxy_test::kRequestInChunks + Request("/post/b", "0c0d"));
 }
--- a/tests/tier/proxy/exchange_table_test.cpp
+++ b/tests/tier/proxy/exchange_table_test.cpp
@@ -4,15 +4,15 @@
 #define BOOST_TEST_MODULE proxy_exchange_table
 #include <boost/test/unit_test.hpp>
 
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 
-using stand_in::Client;
-using stand_in::Endpoint;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Request;
-using stand_in::World;
-using Line = Endpoint::Line;
+using proxy_test::Client;
+using proxy_test::Endpoint;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::ProxyFixture;
+using proxy_test::Request;
+using Connection = Endpoint::Connection;
 
 namespace {
 
@@ -103,31 +103,32 @@
 
 constexpr std::size_t kLongBody = 400'000;  // More than a connection takes unread.
 
-// A world whose first endpoint holds the request `subject` in the state.
+// A fixture whose first endpoint holds the request `subject` in the state.
 class Exchange {
  public:
   Exchange(State state, const std::string& path) : state_(state) {
-    first_ = &world.Add([this](Line& line, const Message& request) { Serve(line, request); });
-    first_->on_head = [this](Line& line, const Message& request) {
+    first_ = &fixture.Add(
+        [this](Connection& connection, const Message& request) { Serve(connection, request); });
+    first_->on_head = [this](Connection& connection, const Message& request) {
       if (request.Value("Shelflink-Request-Id") != "subject") return;
-      Take(line, request);
-      line.Hold();
+      Take(connection, request);
+      connection.PauseReading();
     };
-    auto warm = world.Ask(Request("/post/a", "warm"));
-    world.Run(milliseconds(50));
+    auto warm = fixture.SendRequest(Request("/post/a", "warm"));
+    fixture.Run(milliseconds(50));
     const bool long_body = state == State::kHalfWritten;
-    client = world.Ask(Request(path, "subject", "", std::string(long_body ? kLongBody : 6, 'p')) +
-                       Ahead());
-    world.Run(milliseconds(50));
-    BOOST_REQUIRE(line_ != nullptr);
+    client = fixture.SendRequest(
+        Request(path, "subject", "", std::string(long_body ? kLongBody : 6, 'p')) + Ahead());
+    fixture.Run(milliseconds(50));
+    BOOST_REQUIRE(connection_ != nullptr);
     BOOST_REQUIRE(first_->connections == 1U);  // The one of before.
-    if (state == State::kHalfWritten) BOOST_REQUIRE(line_->served() == 1U);
-    second_ = &world.Add([](Line& line, const Message& request) {
-      line.Write(Endpoint::Whole(request, BodyOf("second", request)));
+    if (state == State::kHalfWritten) BOOST_REQUIRE(connection_->request_count() == 1U);
+    second_ = &fixture.Add([](Connection& connection, const Message& request) {
+      connection.Write(Endpoint::Response(request, BodyOf("second", request)));
     });
-    answer_ = Endpoint::Whole(request_, Body());
+    answer_ = Endpoint::Response(request_, Body());
     WriteUpTo(StartOf(state));
-    world.Run(milliseconds(50));
+    fixture.Run(milliseconds(50));
   }
 
   // Waits behind the subject, and longer.
@@ -139,39 +140,39 @@
   void Happen(Event event) {
     switch (event) {
       case Event::kAnswer:
-        if (state_ == State::kHalfWritten) return line_->ReadOn();
+        if (state_ == State::kHalfWritten) return connection_->ResumeReading();
         return WriteUpTo(answer_.size());
       case Event::kEarlyAnswer:
-        line_->Write(answer_);
+        connection_->Write(answer_);
         return ReadOnLater();
       case Event::kEarlyHalf:
-        line_->Write(answer_.substr(0, answer_.size() / 2));
-        return first_->Later(milliseconds(20), [this] { line_->Reset(); });
+        connection_->Write(answer_.substr(0, answer_.size() / 2));
+        return first_->RunAfter(milliseconds(20), [this] { connection_->Reset(); });
       case Event::kEarlyBegin:
-        line_->Write(answer_.substr(0, 20));
+        connection_->Write(answer_.substr(0, 20));
         written_ = 20;
-        return first_->Later(milliseconds(200), [this] { line_->ReadOn(); });
+        return first_->RunAfter(milliseconds(200), [this] { connection_->ResumeReading(); });
       case Event::kFailure:
-        line_->Write(Endpoint::Whole(request_, "why", 500));
+        connection_->Write(Endpoint::Response(request_, "why", 500));
         return ReadOnLater();
       case Event::kNotRun:
-        line_->Write(Endpoint::NotRun(request_));
+        connection_->Write(Endpoint::NotRunResponse(request_));
         return ReadOnLater();
       case Event::kForeignAnswer:
-        line_->Write(Endpoint::Whole(Other(), "foreign"));
+        connection_->Write(Endpoint::Response(Other(), "foreign"));
         return Happen(Event::kAnswer);
       case Event::kSecondAnswer:
-        line_->Write(answer_.substr(written_) + answer_);
+        connection_->Write(answer_.substr(written_) + answer_);
         return;
       case Event::kInterim:
-        line_->Write("HTTP/1.1 103 Early\r\nX-Hint: a\r\n\r\n");
+        connection_->Write("HTTP/1.1 103 Early\r\nX-Hint: a\r\n\r\n");
         return Happen(Event::kAnswer);
       case Event::kGarbage:
-        return line_->Write("\x01 no answer\r\n\r\n");
+        return connection_->Write("\x01 no answer\r\n\r\n");
       case Event::kReset:
-        return line_->Reset();
+        return connection_->Reset();
       case Event::kEnd:
-        return line_->Close();
+        return connection_->Close();
       case Event::kSilence:
         return;
     }
@@ -180,13 +181,13 @@
   // A further request, for which the first endpoint is the only one.
   Message AskAfter() {
     second_->draining = true;
-    world.Tell();
-    auto after = world.Ask(Request("/post/a", "after"));
-    world.Run(milliseconds(100));
-    return after->Answer();
+    fixture.PublishEndpoints();
+    auto after = fixture.SendRequest(Request("/post/a", "after"));
+    fixture.Run(milliseconds(100));
+    return after->NextResponse();
   }
 
-  const Line& line() const { return *line_; }
+  const Connection& connection() const { return *connection_; }
   std::size_t SentElsewhere() const {
     return static_cast<std::size_t>(std::count_if(
         second_->requests.begin(), second_->requests.end(),
@@ -194,9 +195,9 @@
   }
   // What of the subject's request has been read may be followed by its own bytes alone.
   void CheckWritten() const {
-    const std::string& text = line_->received();
+    const std::string& text = connection_->received();
     const std::size_t body = text.find("\r\n\r\n", text.find("subject")) + 4;
-    if (state_ != State::kHalfWritten || line_->served() > 1) return;
+    if (state_ != State::kHalfWritten || connection_->request_count() > 1) return;
     BOOST_TEST(text.find_first_not_of('p', body) == std::string::npos);
   }
   static std::string BodyOf(const std::string& who, const Message& request) {
@@ -207,19 +208,19 @@
     return std::string(200'000, 'b');
   }
 
-  World world;
+  ProxyFixture fixture;
   std::unique_ptr<Client> client;
 
  private:
-  void Serve(Line& line, const Message& request) {
+  void Serve(Connection& connection, const Message& request) {
     if (request.Value("Shelflink-Request-Id") != "subject") {
-      return line.Write(Endpoint::Whole(request, BodyOf("first", request)));
+      return connection.Write(Endpoint::Response(request, BodyOf("first", request)));
     }
-    if (state_ != State::kHalfWritten) return Take(line, request);
-    if (!answered_early_) line.Write(answer_.substr(written_));
+    if (state_ != State::kHalfWritten) return Take(connection, request);
+    if (!answered_early_) connection.Write(answer_.substr(written_));
   }
-  void Take(Line& line, const Message& request) {
-    line_ = &line;
+  void Take(Connection& connection, const Message& request) {
+    connection_ = &connection;
     request_ = request;
   }
   static std::size_t StartOf(State state) {
@@ -238,12 +239,12 @@
   }
   void WriteUpTo(std::size_t end) {
     if (end == SIZE_MAX) end = answer_.size() - 5;
-    line_->Write(answer_.substr(written_, end - written_));
+    connection_->Write(answer_.substr(written_, end - written_));
     written_ = end;
   }
   void ReadOnLater() {
     answered_early_ = true;
-    first_->Later(milliseconds(200), [this] { line_->ReadOn(); });
+    first_->RunAfter(milliseconds(200), [this] { connection_->ResumeReading(); });
   }
   Message Other() const {
     Message other = request_;
@@ -256,7 +257,7 @@
   State state_;
   Endpoint* first_ = nullptr;
   Endpoint* second_ = nullptr;
-  Line* line_ = nullptr;
+  Connection* connection_ = nullptr;
   Message request_;
   std::string answer_;
   std::size_t written_ = 0;
@@ -266,16 +267,17 @@
 void CheckCell(const Cell& cell, const std::string& path, const Result& result) {
   Exchange exchange(cell.state, path);
   exchange.Happen(cell.event);
-  exchange.world.Run(milliseconds(cell.event == Event::kSilence ? 4000 : 600));
-  const Message answer = exchange.client->Answer();
+  exchange.fixture.Run(milliseconds(cell.event == Event::kSilence ? 4000 : 600));
+  const Message answer = exchange.client->NextResponse();
   BOOST_TEST(exchange.SentElsewhere() == (result.elsewhere ? 1U : 0U));
   exchange.CheckWritten();
-  const bool open = exchange.line().open();
+  const bool open = exchange.connection().open();
   BOOST_TEST(exchange.AskAfter().body == "first:after");
-  if (!cell.kept) BOOST_TEST(exchange.line().served() <= 2U);  // The warm one and the subject.
+  if (!cell.kept)
+    BOOST_TEST(exchange.connection().request_count() <= 2U);  // The warm one and the subject.
   if (result.status == kCut) {
     BOOST_TEST(!answer.whole);
-    BOOST_TEST(exchange.client->over);
+    BOOST_TEST(exchange.client->closed);
     return;
   }
   BOOST_TEST(answer.Status() == result.status);
@@ -283,10 +285,10 @@
     BOOST_TEST((answer.body == (result.elsewhere ? "second:subject" : exchange.Body())));
   }
   if (cell.kept) BOOST_TEST(open);
-  const Message ahead = exchange.client->Answer();
+  const Message ahead = exchange.client->NextResponse();
   BOOST_TEST(ahead.Status() == 200);
   BOOST_TEST(ahead.body.substr(ahead.body.find(':') + 1) == "ahead");
-  BOOST_TEST(exchange.client->came.empty());  // One answer each, and no more.
+  BOOST_TEST(exchange.client->received.empty());  // One answer each, and no more.
 }
 
 }  // namespace
@@ -307,14 +309,14 @@
     for (const std::string path : {"/post/a", "/get/a"}) {
       BOOST_TEST_CONTEXT("state " << static_cast<int>(state) << " " << path) {
         Exchange exchange(state, path);
-        exchange.client->Leave();
-        exchange.world.Run(milliseconds(50));
+        exchange.client->Disconnect();
+        exchange.fixture.Run(milliseconds(50));
         exchange.Happen(Event::kAnswer);  // So that a half-read connection sees its end.
-        exchange.world.Run(milliseconds(50));
-        BOOST_TEST(!exchange.line().open());
-        exchange.world.Run(milliseconds(1000));
+        exchange.fixture.Run(milliseconds(50));
+        BOOST_TEST(!exchange.connection().open());
+        exchange.fixture.Run(milliseconds(1000));
         BOOST_TEST(exchange.SentElsewhere() == 0U);
-        BOOST_TEST(exchange.world.calls.held() == 0U);
+        BOOST_TEST(exchange.fixture.calls.held() == 0U);
       }
     }
   }
@@ -323,45 +325,49 @@
 // ---- Dialling, idle and closing, which no request is on ----
 
 BOOST_AUTO_TEST_CASE(a_client_that_goes_while_its_connection_is_dialled_sends_nothing) {
-  World world;
-  Endpoint& endpoint = world.Add(stand_in::Answers("x"));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(proxy_test::RespondWith("x"));
   net::Weather slow;
   slow.latency_low = milliseconds(50);
   slow.latency_high = milliseconds(50);
-  world.network.SetWeather(endpoint.process.host(), world.process.host(), slow);
-  auto client = world.Ask(Request("/get/a"));
-  world.Run(milliseconds(20));
-  client->Leave();
-  world.Run(milliseconds(1000));
+  fixture.network.SetWeather(endpoint.process.host(), fixture.process.host(), slow);
+  auto client = fixture.SendRequest(Request("/get/a"));
+  fixture.Run(milliseconds(20));
+  client->Disconnect();
+  fixture.Run(milliseconds(1000));
   BOOST_TEST(endpoint.requests.empty());
-  BOOST_TEST(world.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.held() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(what_comes_on_an_idle_connection_ends_it) {
-  const std::vector<std::function<void(Line&, const Message&)>> events = {
-      [](Line& line, const Message& before) { line.Write(Endpoint::Whole(before, "again")); },
-      [](Line& line, const Message&) { line.Write("HTTP/1.1 103 Early\r\n\r\n"); },
-      [](Line& line, const Message&) { line.Write("x"); },
-      [](Line& line, const Message&) { line.Reset(); },
-      [](Line& line, const Message&) { line.Close(); },
+  const std::vector<std::function<void(Connection&, const Message&)>> events = {
+      [](Connection& connection, const Message& before) {
+        connection.Write(Endpoint::Response(before, "again"));
+      },
+      [](Connection& connection, const Message&) {
+        connection.Write("HTTP/1.1 103 Early\r\n\r\n");
+      },
+      [](Connection& connection, const Message&) { connection.Write("x"); },
+      [](Connection& connection, const Message&) { connection.Reset(); },
+      [](Connection& connection, const Message&) { connection.Close(); },
   };
   for (std::size_t number = 0; number < events.size(); ++number) {
     BOOST_TEST_CONTEXT(number) {
-      World world;
-      Line* line = nullptr;
-      Endpoint& endpoint = world.Add([&](Line& at, const Message& request) {
-        if (line == nullptr) line = &at;
-        at.Write(Endpoint::Whole(request, request.Value("Shelflink-Request-Id")));
+      ProxyFixture fixture;
+      Connection* connection = nullptr;
+      Endpoint& endpoint = fixture.Add([&](Connection& at, const Message& request) {
+        if (connection == nullptr) connection = &at;
+        at.Write(Endpoint::Response(request, request.Value("Shelflink-Request-Id")));
       });
-      auto one = world.Ask(Request("/post/a", "one"));
-      world.Run(milliseconds(50));
-      events[number](*line, endpoint.requests.front());
-      world.Run(milliseconds(50));
-      auto two = world.Ask(Request("/post/a", "two"));
-      world.Run(milliseconds(50));
-      BOOST_TEST(two->Answer().body == "two");
+      auto one = fixture.SendRequest(Request("/post/a", "one"));
+      fixture.Run(milliseconds(50));
+      events[number](*connection, endpoint.requests.front());
+      fixture.Run(milliseconds(50));
+      auto two = fixture.SendRequest(Request("/post/a", "two"));
+      fixture.Run(milliseconds(50));
+      BOOST_TEST(two->NextResponse().body == "two");
       BOOST_TEST(endpoint.connections == 2U);
-      BOOST_TEST(line->served() == 1U);
+      BOOST_TEST(connection->request_count() == 1U);
     }
   }
 }
@@ -370,37 +376,37 @@
 BOOST_AUTO_TEST_CASE(a_request_on_a_dead_idle_connection_is_sent_again_only_where_it_may_be) {
   for (const bool idempotent : {false, true}) {
     BOOST_TEST_CONTEXT(idempotent) {
-      World world;
-      Endpoint& endpoint = world.Add(stand_in::Answers("x"));
-      auto one = world.Ask(Request("/post/a", "one"));
-      world.Run(milliseconds(500));
-      world.network.ForgetIdle(endpoint.process.host(), world.process.host());
-      Endpoint& other = world.Add(stand_in::Answers("y"));
+      ProxyFixture fixture;
+      Endpoint& endpoint = fixture.Add(proxy_test::RespondWith("x"));
+      auto one = fixture.SendRequest(Request("/post/a", "one"));
+      fixture.Run(milliseconds(500));
+      fixture.network.ForgetIdle(endpoint.process.host(), fixture.process.host());
+      Endpoint& other = fixture.Add(proxy_test::RespondWith("y"));
       other.draining = true;  // So that the idle connection is chosen.
-      world.Tell();
-      auto two = world.Ask(Request(idempotent ? "/get/a" : "/post/a", "two"));
-      world.Run(milliseconds(1000));
-      BOOST_TEST(two->Answer().Status() == (idempotent ? 200 : 502));
+      fixture.PublishEndpoints();
+      auto two = fixture.SendRequest(Request(idempotent ? "/get/a" : "/post/a", "two"));
+      fixture.Run(milliseconds(1000));
+      BOOST_TEST(two->NextResponse().Status() == (idempotent ? 200 : 502));
       BOOST_TEST(endpoint.requests.size() == (idempotent ? 2U : 1U));
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(what_comes_on_a_closing_connection_reaches_nobody) {
-  World world;
-  Endpoint& endpoint = world.Add([&](Line& line, const Message& request) {
-    line.Write(Endpoint::Whole(request, request.Value("Shelflink-Request-Id"), 200,
-                               "Connection: close\r\n"));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
+    connection.Write(Endpoint::Response(request, request.Value("Shelflink-Request-Id"), 200,
+                                        "Connection: close\r\n"));
     const Message kept = request;
-    world.endpoints[0]->Later(milliseconds(5), [&line, kept] {
-      if (line.open()) line.Write(Endpoint::Whole(kept, "again"));
+    fixture.endpoints[0]->RunAfter(milliseconds(5), [&connection, kept] {
+      if (connection.open()) connection.Write(Endpoint::Response(kept, "again"));
     });
   });
   for (const std::string id : {"one", "two", "three"}) {
-    auto client = world.Ask(Request("/post/a", id));
-    world.Run(milliseconds(50));
-    BOOST_TEST(client->Answer().body == id);
-    BOOST_TEST(client->came.empty());
+    auto client = fixture.SendRequest(Request("/post/a", id));
+    fixture.Run(milliseconds(50));
+    BOOST_TEST(client->NextResponse().body == id);
+    BOOST_TEST(client->received.empty());
   }
   BOOST_TEST(endpoint.connections == 3U);
 }
@@ -411,21 +417,22 @@
   for (const std::size_t size : {std::size_t{5}, std::size_t{200'000}}) {
     for (const bool reset : {false, true}) {
       BOOST_TEST_CONTEXT(size << " " << reset) {
-        World world;
+        ProxyFixture fixture;
         const std::string body(size, 'b');
-        world.Add([&](Line& line, const Message& request) {
-          line.Write(Endpoint::Head(request, "") + body);
-          world.endpoints[0]->Later(milliseconds(300),
-                                    [&line, reset] { reset ? line.Reset() : line.Close(); });
+        fixture.Add([&](Connection& connection, const Message& request) {
+          connection.Write(Endpoint::Head(request, "") + body);
+          fixture.endpoints[0]->RunAfter(milliseconds(300), [&connection, reset] {
+            reset ? connection.Reset() : connection.Close();
+          });
         });
-        auto client = world.Ask(Request("/post/a"));
-        world.Run(milliseconds(600));
-        const Message answer = client->Answer();
+        auto client = fixture.SendRequest(Request("/post/a"));
+        fixture.Run(milliseconds(600));
+        const Message answer = client->NextResponse();
         const bool long_answer = size > 100;
         BOOST_TEST(answer.whole == (!reset || !long_answer));
         if (!reset) BOOST_TEST((answer.body == body));
         if (reset && !long_answer) BOOST_TEST(answer.Status() == 502);
-        BOOST_TEST(world.Served() == 1U);
+        BOOST_TEST(fixture.RequestCount() == 1U);
       }
     }
   }
--- a/tests/tier/proxy/front_test.cpp
+++ b/tests/tier/proxy/front_test.cpp
@@ -2,25 +2,27 @@
 #define BOOST_TEST_MODULE proxy_front
 #include <boost/test/unit_test.hpp>
 
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 
-using stand_in::Answers;
-using stand_in::Client;
-using stand_in::Endpoint;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Request;
-using stand_in::Sample;
-using stand_in::World;
+using proxy_test::Client;
+using proxy_test::Endpoint;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::ProxyFixture;
+using proxy_test::Request;
+using proxy_test::RespondWith;
+using proxy_test::SampleConfiguration;
 
 BOOST_AUTO_TEST_CASE(passes_request_and_answer_on) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("the bytes", "X-More: yes\r\nKeep-Alive: timeout=5\r\n"));
-  auto client = world.Ask(Request("/post/one?q=1%202", "9c41d07be2a35f68",
+  ProxyFixture fixture;
+  Endpoint& endpoint =
+      fixture.Add(RespondWith("the bytes", "X-More: yes\r\nKeep-Alive: timeout=5\r\n"));
+  auto client =
+      fixture.SendRequest(Request("/post/one?q=1%202", "9c41d07be2a35f68",
                                   "X-Other: kept\r\nConnection: X-Hop, keep-alive\r\nX-Hop: no\r\n"
                                   "Shelflink-Tenant: forged\r\nShelflink-Credential: key-1\r\n"));
-  world.Run(milliseconds(100));
-  const Message answer = client->Answer();
+  fixture.Run(milliseconds(100));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.Status() == 200);
   BOOST_TEST(answer.body == "the bytes");
@@ -29,7 +31,7 @@
   BOOST_TEST(answer.Count("Keep-Alive") == 0U);
   BOOST_REQUIRE(endpoint.requests.size() == 1U);
   const Message& seen = endpoint.requests.front();
-  BOOST_TEST(seen.first == "POST /post/one?q=1%202 HTTP/1.1");
+  BOOST_TEST(seen.start_line == "POST /post/one?q=1%202 HTTP/1.1");
   BOOST_TEST(seen.body == "prompt");
   BOOST_TEST(seen.Value("Host") == "a.example");
   BOOST_TEST(seen.Value("X-Other") == "kept");
@@ -45,49 +47,51 @@
 }
 
 BOOST_AUTO_TEST_CASE(tenant_comes_from_the_key) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("x"));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
   const std::string forged = "Shelflink-Tenant: forged\r\n";
-  auto known = world.Ask(Request("/keyed/a", "01", "Shelflink-Credential: key-2\r\n" + forged));
-  auto unknown = world.Ask(Request("/keyed/a", "02", "Shelflink-Credential: key-3\r\n" + forged));
-  auto keyless = world.Ask(Request("/keyed/a", "03", forged));
-  world.Run(milliseconds(100));
-  BOOST_TEST(known->Answer().Status() == 200);
-  BOOST_TEST(unknown->Answer().Status() == 401);
-  BOOST_TEST(keyless->Answer().Status() == 401);
+  auto known =
+      fixture.SendRequest(Request("/keyed/a", "01", "Shelflink-Credential: key-2\r\n" + forged));
+  auto unknown =
+      fixture.SendRequest(Request("/keyed/a", "02", "Shelflink-Credential: key-3\r\n" + forged));
+  auto keyless = fixture.SendRequest(Request("/keyed/a", "03", forged));
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(known->NextResponse().Status() == 200);
+  BOOST_TEST(unknown->NextResponse().Status() == 401);
+  BOOST_TEST(keyless->NextResponse().Status() == 401);
   BOOST_REQUIRE(endpoint.requests.size() == 1U);
   BOOST_TEST(endpoint.requests.front().Value("Shelflink-Tenant") == "ten");
   BOOST_TEST(endpoint.requests.front().Count("Shelflink-Tenant") == 1U);
   BOOST_TEST(endpoint.requests.front().Count("Shelflink-Credential") == 0U);
-  BOOST_TEST(world.used["ten"] == 1);
+  BOOST_TEST(fixture.usage["ten"] == 1);
 }
 
 BOOST_AUTO_TEST_CASE(key_that_was_taken_away_is_refused_on_the_next_request) {
-  World world;
-  world.Add(Answers("x"));
-  auto client = world.Ask(Request("/keyed/a", "01", "Shelflink-Credential: key-2\r\n"));
-  world.Run(milliseconds(100));
-  BOOST_TEST(client->Answer().Status() == 200);
-  auto changed = Sample();
+  ProxyFixture fixture;
+  fixture.Add(RespondWith("x"));
+  auto client = fixture.SendRequest(Request("/keyed/a", "01", "Shelflink-Credential: key-2\r\n"));
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(client->NextResponse().Status() == 200);
+  auto changed = SampleConfiguration();
   changed.tenants[0].api_keys = {"key-1"};
   changed.Index();
-  world.SetConfiguration(changed);
+  fixture.SetConfiguration(changed);
   client->Send(Request("/keyed/a", "02", "Shelflink-Credential: key-2\r\n"));
-  world.Run(milliseconds(100));
-  BOOST_TEST(client->Answer().Status() == 401);
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(client->NextResponse().Status() == 401);
 }
 
 BOOST_AUTO_TEST_CASE(takes_a_body_in_chunks_and_passes_it_with_its_length) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("x"));
-  auto client = world.Ask(
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
+  auto client = fixture.SendRequest(
       "POST /post/a HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 01\r\n"
       "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-  world.Run(milliseconds(50));
+  fixture.Run(milliseconds(50));
   BOOST_TEST(endpoint.requests.empty());
   client->Send("2\r\nde\r\n0\r\n\r\n");
-  world.Run(milliseconds(50));
-  BOOST_TEST(client->Answer().Status() == 200);
+  fixture.Run(milliseconds(50));
+  BOOST_TEST(client->NextResponse().Status() == 200);
   BOOST_REQUIRE(endpoint.requests.size() == 1U);
   BOOST_TEST(endpoint.requests.front().body == "abcde");
   BOOST_TEST(endpoint.requests.front().Value("Content-Length") == "5");
@@ -95,17 +99,17 @@
 }
 
 BOOST_AUTO_TEST_CASE(answers_pipelined_requests_in_order) {
-  World world;
-  world.Add([](Endpoint::Line& line, const Message& request) {
-    line.Write(Endpoint::Whole(request, request.Value("Shelflink-Request-Id")));
+  ProxyFixture fixture;
+  fixture.Add([](Endpoint::Connection& connection, const Message& request) {
+    connection.Write(Endpoint::Response(request, request.Value("Shelflink-Request-Id")));
   });
-  auto client = world.Ask(Request("/post/a", "01") + Request("/post/a", "02") +
-                          Request("/nowhere/a", "03") + Request("/post/a", "04"));
-  world.Run(milliseconds(100));
-  BOOST_TEST(client->Answer().body == "01");
-  BOOST_TEST(client->Answer().body == "02");
-  BOOST_TEST(client->Answer().Status() == 404);
-  BOOST_TEST(client->Answer().body == "04");
+  auto client = fixture.SendRequest(Request("/post/a", "01") + Request("/post/a", "02") +
+                                    Request("/nowhere/a", "03") + Request("/post/a", "04"));
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(client->NextResponse().body == "01");
+  BOOST_TEST(client->NextResponse().body == "02");
+  BOOST_TEST(client->NextResponse().Status() == 404);
+  BOOST_TEST(client->NextResponse().body == "04");
 }
 
 // ---- What cannot be used is answered or closed, and never passed on ----
@@ -156,11 +160,11 @@
   };
   for (const BadRequest& bad : all) {
     BOOST_TEST_CONTEXT(bad.name) {
-      World world;
-      Endpoint& endpoint = world.Add(Answers("x"));
-      auto client = world.Ask(bad.text);
-      world.Run(milliseconds(1000));
-      const Message answer = client->Answer();
+      ProxyFixture fixture;
+      Endpoint& endpoint = fixture.Add(RespondWith("x"));
+      auto client = fixture.SendRequest(bad.text);
+      fixture.Run(milliseconds(1000));
+      const Message answer = client->NextResponse();
       BOOST_TEST(answer.Status() == bad.status);
       BOOST_TEST(endpoint.requests.empty());
       BOOST_TEST(answer.Count("Shelflink-Response-Stamp") == 0U);
@@ -169,51 +173,52 @@
 }
 
 BOOST_AUTO_TEST_CASE(no_route_is_404) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("x"));
-  auto path = world.Ask(Request("/nowhere/a"));
-  auto host =
-      world.Ask("GET /get/a HTTP/1.1\r\nHost: b.example\r\nShelflink-Request-Id: 01\r\n\r\n");
-  world.Run(milliseconds(100));
-  BOOST_TEST(path->Answer().Status() == 404);
-  BOOST_TEST(host->Answer().Status() == 404);
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
+  auto path = fixture.SendRequest(Request("/nowhere/a"));
+  auto host = fixture.SendRequest(
+      "GET /get/a HTTP/1.1\r\nHost: b.example\r\nShelflink-Request-Id: 01\r\n\r\n");
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(path->NextResponse().Status() == 404);
+  BOOST_TEST(host->NextResponse().Status() == 404);
   BOOST_TEST(endpoint.requests.empty());
 }
 
 BOOST_AUTO_TEST_CASE(chunked_body_over_the_limit_is_413) {
-  auto configuration = Sample();
+  auto configuration = SampleConfiguration();
   configuration.limits.max_body_bytes = 100;
-  World world(1, configuration);
-  Endpoint& endpoint = world.Add(Answers("x"));
+  ProxyFixture fixture(1, configuration);
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
   const std::string head =
       "POST /post/a HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 01\r\n"
       "Transfer-Encoding: chunked\r\n\r\n";
-  auto over = world.Ask(head + Endpoint::Chunk(std::string(60, 'a')) +
-                        Endpoint::Chunk(std::string(60, 'b')) + "0\r\n\r\n");
-  auto within = world.Ask(head + Endpoint::Chunk(std::string(60, 'a')) +
-                          Endpoint::Chunk(std::string(40, 'b')) + "0\r\n\r\n");
-  world.Run(milliseconds(100));
-  BOOST_TEST(over->Answer().Status() == 413);
-  BOOST_TEST(within->Answer().Status() == 200);
+  auto over = fixture.SendRequest(head + Endpoint::Chunk(std::string(60, 'a')) +
+                                  Endpoint::Chunk(std::string(60, 'b')) + "0\r\n\r\n");
+  auto within = fixture.SendRequest(head + Endpoint::Chunk(std::string(60, 'a')) +
+                                    Endpoint::Chunk(std::string(40, 'b')) + "0\r\n\r\n");
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(over->NextResponse().Status() == 413);
+  BOOST_TEST(within->NextResponse().Status() == 200);
   BOOST_TEST(endpoint.requests.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(bodies_that_do_not_fit_into_memory_are_refused) {
-  World world(1, Sample(), 4 << 20);
-  Endpoint& endpoint = world.Add([](Endpoint::Line&, const Message&) {});
+  ProxyFixture fixture(1, SampleConfiguration(), 4 << 20);
+  Endpoint& endpoint = fixture.Add([](Endpoint::Connection&, const Message&) {});
   const std::string body(600'000, 'b');
   std::vector<std::unique_ptr<Client>> clients;
   for (int number = 0; number < 4; ++number) {
-    clients.push_back(world.Ask(Request("/post/a", "0" + std::to_string(number), "", body)));
-    world.Run(milliseconds(300));
+    clients.push_back(
+        fixture.SendRequest(Request("/post/a", "0" + std::to_string(number), "", body)));
+    fixture.Run(milliseconds(300));
   }
-  auto small = world.Ask(Request("/post/a", "0a"));
-  world.Run(milliseconds(100));
-  BOOST_TEST(clients[0]->came.empty());
-  BOOST_TEST(clients[1]->Answer().Status() == 503);
-  BOOST_TEST(clients[2]->Answer().Status() == 503);
-  BOOST_TEST(clients[3]->Answer().Status() == 503);
-  BOOST_TEST(small->came.empty());
+  auto small = fixture.SendRequest(Request("/post/a", "0a"));
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(clients[0]->received.empty());
+  BOOST_TEST(clients[1]->NextResponse().Status() == 503);
+  BOOST_TEST(clients[2]->NextResponse().Status() == 503);
+  BOOST_TEST(clients[3]->NextResponse().Status() == 503);
+  BOOST_TEST(small->received.empty());
   BOOST_TEST(endpoint.requests.size() == 2U);
 }
 
@@ -222,60 +227,60 @@
                                            Lines("Content-Length: 5\r\n\r\nab")};
   for (const std::string& half : halves) {
     BOOST_TEST_CONTEXT(half) {
-      World world;
-      Endpoint& endpoint = world.Add(Answers("x"));
-      auto client = world.Ask(half);
-      world.Run(milliseconds(3000));
-      BOOST_TEST(!client->over);  // The limit is the client's due.
-      world.Run(milliseconds(2000));
-      BOOST_TEST(client->Answer().Status() == 408);
-      BOOST_TEST(client->over);
+      ProxyFixture fixture;
+      Endpoint& endpoint = fixture.Add(RespondWith("x"));
+      auto client = fixture.SendRequest(half);
+      fixture.Run(milliseconds(3000));
+      BOOST_TEST(!client->closed);  // The limit is the client's due.
+      fixture.Run(milliseconds(2000));
+      BOOST_TEST(client->NextResponse().Status() == 408);
+      BOOST_TEST(client->closed);
       BOOST_TEST(endpoint.requests.empty());
-      BOOST_TEST(world.front.rejected().at(408) == 1U);
+      BOOST_TEST(fixture.front.rejected().at(408) == 1U);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(connections_may_rest_as_long_as_the_limits_say) {
-  World world;
-  world.Add(Answers("x"));
-  auto fresh = world.Dial();
-  auto used = world.Ask(Request("/post/a", "01"));
-  world.Run(milliseconds(12'000));  // Four fifths of 15 s.
-  BOOST_TEST(used->Answer().Status() == 200);
+  ProxyFixture fixture;
+  fixture.Add(RespondWith("x"));
+  auto fresh = fixture.Dial();
+  auto used = fixture.SendRequest(Request("/post/a", "01"));
+  fixture.Run(milliseconds(12'000));  // Four fifths of 15 s.
+  BOOST_TEST(used->NextResponse().Status() == 200);
   used->Send(Request("/post/a", "02"));
   fresh->Send(Request("/post/a", "03"));
-  world.Run(milliseconds(100));
-  BOOST_TEST(used->Answer().Status() == 200);
-  BOOST_TEST(fresh->Answer().Status() == 200);
-  world.Run(milliseconds(16'000));
-  BOOST_TEST(used->over);
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(used->NextResponse().Status() == 200);
+  BOOST_TEST(fresh->NextResponse().Status() == 200);
+  fixture.Run(milliseconds(16'000));
+  BOOST_TEST(used->closed);
 }
 
 BOOST_AUTO_TEST_CASE(leaving_serves_what_comes_while_the_platform_looks_away) {
-  World world;
-  world.Add([&](Endpoint::Line& line, const Message& request) {
-    world.endpoints[0]->Stream(line, request, 40, milliseconds(50));
+  ProxyFixture fixture;
+  fixture.Add([&](Endpoint::Connection& connection, const Message& request) {
+    fixture.endpoints[0]->Stream(connection, request, 40, milliseconds(50));
   });
-  auto idle = world.Ask(Request("/stream/a", "00"));
-  world.Run(milliseconds(20));
-  auto half = world.Ask(Lines("Content-Length: 5\r\n\r\nab"));
-  world.Run(milliseconds(20));
+  auto idle = fixture.SendRequest(Request("/stream/a", "00"));
+  fixture.Run(milliseconds(20));
+  auto half = fixture.SendRequest(Lines("Content-Length: 5\r\n\r\nab"));
+  fixture.Run(milliseconds(20));
   bool done = false;
-  world.drain.Leave(false);
-  world.front.Leave([&] { done = true; });
-  world.Run(milliseconds(2000));
-  auto late = world.Ask(Request("/stream/a", "01"));  // The platform has not noticed yet.
+  fixture.drain.Leave(false);
+  fixture.front.Leave([&] { done = true; });
+  fixture.Run(milliseconds(2000));
+  auto late = fixture.SendRequest(Request("/stream/a", "01"));  // The platform has not noticed yet.
   half->Send("cde");
-  world.Run(milliseconds(1000));
-  BOOST_TEST(idle->Answer().whole);  // It had begun before the drain.
-  BOOST_TEST(idle->over);
+  fixture.Run(milliseconds(1000));
+  BOOST_TEST(idle->NextResponse().whole);  // It had begun before the drain.
+  BOOST_TEST(idle->closed);
   BOOST_TEST(!done);
-  world.Run(milliseconds(3000));
-  const Message answer = late->Answer();
+  fixture.Run(milliseconds(3000));
+  const Message answer = late->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.Value("Connection") == "close");
-  BOOST_TEST(half->Answer().Status() == 200);
-  world.Run(milliseconds(1000));
+  BOOST_TEST(half->NextResponse().Status() == 200);
+  fixture.Run(milliseconds(1000));
   BOOST_TEST(done);
 }
--- a/tests/tier/proxy/live_rules_test.cpp
+++ b/tests/tier/proxy/live_rules_test.cpp
@@ -3,17 +3,17 @@
 #define BOOST_TEST_MODULE proxy_live_rules
 #include <boost/test/unit_test.hpp>
 
-#include "proxy/stand_in.h"
-
-using stand_in::Answers;
-using stand_in::Client;
-using stand_in::Endpoint;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Request;
-using stand_in::Sample;
-using stand_in::World;
-using Line = Endpoint::Line;
+#include "proxy/proxy_fixture.h"
+
+using proxy_test::Client;
+using proxy_test::Endpoint;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::ProxyFixture;
+using proxy_test::Request;
+using proxy_test::RespondWith;
+using proxy_test::SampleConfiguration;
+using Connection = Endpoint::Connection;
 
 namespace {
 
@@ -37,15 +37,15 @@
 // ---- What is handed on ----
 
 BOOST_AUTO_TEST_CASE(the_protocols_headers_pass_whatever_connection_names) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("x"));
-  auto client =
-      world.Ask(Request("/post/a", "01",
-                        "Connection: keep-alive, Shelflink-Model, shelflink-token-count, X-Hop\r\n"
-                        "Shelflink-Model: m\r\nShelflink-Token-Count: 12,34\r\n"
-                        "Shelflink-Prompt-Prefix: 5c1e:8, 91bd:4\r\nX-Hop: a\r\n"));
-  world.Run(milliseconds(100));
-  BOOST_TEST(client->Answer().Status() == 200);
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
+  auto client = fixture.SendRequest(
+      Request("/post/a", "01",
+              "Connection: keep-alive, Shelflink-Model, shelflink-token-count, X-Hop\r\n"
+              "Shelflink-Model: m\r\nShelflink-Token-Count: 12,34\r\n"
+              "Shelflink-Prompt-Prefix: 5c1e:8, 91bd:4\r\nX-Hop: a\r\n"));
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(client->NextResponse().Status() == 200);
   const Message& request = endpoint.requests.front();
   BOOST_TEST(request.Value("Shelflink-Model") == "m");
   BOOST_TEST(request.Value("Shelflink-Token-Count") == "12,34");
@@ -55,34 +55,35 @@
 
 // With it any client could have every endpoint answer 421, which takes endpoints out of use.
 BOOST_AUTO_TEST_CASE(a_clients_expect_version_is_not_passed_on) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("x"));
-  auto client = world.Ask(Request("/post/a", "01", "Expect-Version: 99\r\n"));
-  world.Run(milliseconds(100));
-  BOOST_TEST(client->Answer().Status() == 200);
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
+  auto client = fixture.SendRequest(Request("/post/a", "01", "Expect-Version: 99\r\n"));
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(client->NextResponse().Status() == 200);
   BOOST_TEST(endpoint.requests.front().Count("Expect-Version") == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(versions_pass_in_heads_and_events_also_over_a_resumption) {
-  World world;
+  ProxyFixture fixture;
   int runs = 0;
   const std::string changed = "versions: 8\nid: 3\ndata: token 3\n\n";
-  const auto behaviour = [&](Line& line, const Message& request) {
+  const auto behaviour = [&](Connection& connection, const Message& request) {
     const bool again = runs++ > 0;
-    line.Write(Endpoint::Head(request, std::string("Versions: ") + (again ? "8" : "7") +
-                                           "\r\nContent-Type: text/event-stream\r\n"
-                                           "Transfer-Encoding: chunked\r\n"));
+    connection.Write(Endpoint::Head(request, std::string("Versions: ") + (again ? "8" : "7") +
+                                                 "\r\nContent-Type: text/event-stream\r\n"
+                                                 "Transfer-Encoding: chunked\r\n"));
     if (!again) {
-      line.Write(Endpoint::Chunk(Events(1, 2)) + Endpoint::Chunk("versions: 8\nid: 3\nda"));
-      return world.endpoints[0]->Later(milliseconds(20), [&line] { line.Reset(); });
+      connection.Write(Endpoint::Chunk(Events(1, 2)) + Endpoint::Chunk("versions: 8\nid: 3\nda"));
+      return fixture.endpoints[0]->RunAfter(milliseconds(20),
+                                            [&connection] { connection.Reset(); });
     }
-    line.Write(Endpoint::Chunk(changed + Events(4, 5)) + "0\r\n\r\n");
+    connection.Write(Endpoint::Chunk(changed + Events(4, 5)) + "0\r\n\r\n");
   };
-  world.Add(behaviour);
-  world.Add(behaviour);
-  auto client = world.Ask(Request("/resume/a"));
-  world.Run(milliseconds(500));
-  const Message answer = client->Answer();
+  fixture.Add(behaviour);
+  fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/resume/a"));
+  fixture.Run(milliseconds(500));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.Value("Versions") == "7");  // The head is the first endpoint's.
   BOOST_TEST(answer.Count("Versions") == 1U);
@@ -92,64 +93,65 @@
 // ---- How much time an endpoint is told ----
 
 BOOST_AUTO_TEST_CASE(the_time_left_counts_from_the_requests_first_byte) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("x"));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
   const std::string request = Request("/post/a");
-  auto client = world.Ask(request.substr(0, request.size() - 3));
-  world.Run(milliseconds(700));
+  auto client = fixture.SendRequest(request.substr(0, request.size() - 3));
+  fixture.Run(milliseconds(700));
   client->Send(request.substr(request.size() - 3));
-  world.Run(milliseconds(100));
-  BOOST_TEST(client->Answer().Status() == 200);
+  fixture.Run(milliseconds(100));
+  BOOST_TEST(client->NextResponse().Status() == 200);
   BOOST_TEST(DeadlineOf(endpoint.requests.front()) <= 2300);
   BOOST_TEST(DeadlineOf(endpoint.requests.front()) > 2200);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_sent_ahead_waits_at_its_own_cost) {
-  World world;
-  Endpoint& endpoint = world.Add([&](Line& line, const Message& request) {
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     const Message kept = request;
-    world.endpoints[0]->Later(milliseconds(600),
-                              [&line, kept] { line.Write(Endpoint::Whole(kept, "x")); });
+    fixture.endpoints[0]->RunAfter(milliseconds(600), [&connection, kept] {
+      connection.Write(Endpoint::Response(kept, "x"));
+    });
   });
-  auto client = world.Ask(Request("/post/a", "01") + Request("/post/a", "02"));
-  world.Run(milliseconds(1500));
+  auto client = fixture.SendRequest(Request("/post/a", "01") + Request("/post/a", "02"));
+  fixture.Run(milliseconds(1500));
   BOOST_REQUIRE(endpoint.requests.size() == 2U);
   BOOST_TEST(DeadlineOf(endpoint.requests.back()) <= 2400);
 }
 
 BOOST_AUTO_TEST_CASE(without_a_clients_deadline_it_is_the_routes_time) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("x"));
-  auto client = world.Ask(WithoutDeadline("/post/a"));
-  world.Run(milliseconds(100));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
+  auto client = fixture.SendRequest(WithoutDeadline("/post/a"));
+  fixture.Run(milliseconds(100));
   BOOST_TEST(DeadlineOf(endpoint.requests.front()) <= 4000);
   BOOST_TEST(DeadlineOf(endpoint.requests.front()) > 3900);
 }
 
 BOOST_AUTO_TEST_CASE(a_deadline_with_a_fraction_is_heeded) {
-  World world;
-  Endpoint& endpoint = world.Add(Answers("x"));
-  auto client = world.Ask(
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
+  auto client = fixture.SendRequest(
       "POST /post/a HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 01\r\n"
       "Shelflink-Deadline-Ms: 1500.75\r\nContent-Length: 0\r\n\r\n");
-  world.Run(milliseconds(100));
+  fixture.Run(milliseconds(100));
   BOOST_TEST(DeadlineOf(endpoint.requests.front()) <= 1500);
 }
 
 BOOST_AUTO_TEST_CASE(sent_again_it_is_told_what_is_left) {
-  World world;
+  ProxyFixture fixture;
   int runs = 0;
-  const auto behaviour = [&](Line& line, const Message& request) {
-    if (runs++ > 0) return line.Write(Endpoint::Whole(request, "x"));
-    world.endpoints[0]->Later(milliseconds(900), [&line] { line.Reset(); });
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    if (runs++ > 0) return connection.Write(Endpoint::Response(request, "x"));
+    fixture.endpoints[0]->RunAfter(milliseconds(900), [&connection] { connection.Reset(); });
   };
-  world.Add(behaviour);
-  world.Add(behaviour);
-  auto client = world.Ask(Request("/get/a"));
-  world.Run(milliseconds(1200));
-  BOOST_TEST(client->Answer().Status() == 200);
+  fixture.Add(behaviour);
+  fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/get/a"));
+  fixture.Run(milliseconds(1200));
+  BOOST_TEST(client->NextResponse().Status() == 200);
   std::vector<std::int64_t> told;
-  for (const auto& endpoint : world.endpoints) {
+  for (const auto& endpoint : fixture.endpoints) {
     for (const Message& request : endpoint->requests) told.push_back(DeadlineOf(request));
   }
   std::sort(told.begin(), told.end());
@@ -161,74 +163,75 @@
 // ---- When it is over ----
 
 BOOST_AUTO_TEST_CASE(a_body_that_still_comes_at_the_routes_time_is_answered_then) {
-  auto configuration = Sample();
+  auto configuration = SampleConfiguration();
   configuration.limits.header_timeout = milliseconds(60'000);
-  World world(1, configuration);
-  Endpoint& endpoint = world.Add(Answers("x"));
+  ProxyFixture fixture(1, configuration);
+  Endpoint& endpoint = fixture.Add(RespondWith("x"));
   const std::string request = Request("/post/a", "01", "", std::string(100, 'p'));
-  auto client = world.Ask(request.substr(0, request.size() - 100));
+  auto client = fixture.SendRequest(request.substr(0, request.size() - 100));
   for (int number = 0; number < 9; ++number) {
-    world.Run(milliseconds(490));
+    fixture.Run(milliseconds(490));
     client->Send("p");
   }
-  BOOST_TEST(client->Answer().Status() == 408);  // It has not run and will not.
+  BOOST_TEST(client->NextResponse().Status() == 408);  // It has not run and will not.
   BOOST_TEST(endpoint.requests.empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_client_that_does_not_read_holds_nothing_beyond_the_routes_time) {
-  World world;
-  Endpoint& endpoint = world.Add([&](Line& line, const Message& request) {
-    line.Write(Endpoint::StreamHead(request));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
+    connection.Write(Endpoint::StreamHead(request));
     for (int number = 1; number <= 60; ++number) {
-      line.Write(Endpoint::Chunk("id: " + std::to_string(number) +
-                                 "\ndata: " + std::string(10'000, 'd') + "\n\n"));
+      connection.Write(Endpoint::Chunk("id: " + std::to_string(number) +
+                                       "\ndata: " + std::string(10'000, 'd') + "\n\n"));
     }
   });
-  auto client = world.Dial();
-  client->Hold();
+  auto client = fixture.Dial();
+  client->PauseReading();
   client->Send(WithoutDeadline("/stream/a"));
-  world.Run(milliseconds(3900));
-  BOOST_TEST(endpoint.left == 0U);
-  world.Run(milliseconds(600));
-  BOOST_TEST(endpoint.left == 1U);
-  BOOST_TEST(world.calls.held() == 0U);
+  fixture.Run(milliseconds(3900));
+  BOOST_TEST(endpoint.disconnects == 0U);
+  fixture.Run(milliseconds(600));
+  BOOST_TEST(endpoint.disconnects == 1U);
+  BOOST_TEST(fixture.calls.held() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(silence_alone_does_not_end_a_stream) {
-  World world;
-  Endpoint& endpoint = world.Add([&](Line& line, const Message& request) {
-    world.endpoints[0]->Stream(line, request, 3, milliseconds(20), [](Line&) {});
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
+    fixture.endpoints[0]->Stream(connection, request, 3, milliseconds(20), [](Connection&) {});
   });
   for (const std::string path : {"/stream/a", "/resume/a"}) {
     BOOST_TEST_CONTEXT(path) {
-      const std::size_t left = endpoint.left;
-      auto client = world.Ask(Request(path));
-      world.Run(milliseconds(2950));
-      BOOST_TEST(!client->over);
-      BOOST_TEST(endpoint.left == left);
-      world.Run(milliseconds(200));  // The client's deadline.
-      BOOST_TEST(client->over);
-      BOOST_TEST(!client->Answer().whole);
-      BOOST_TEST(endpoint.left == left + 1);
+      const std::size_t left = endpoint.disconnects;
+      auto client = fixture.SendRequest(Request(path));
+      fixture.Run(milliseconds(2950));
+      BOOST_TEST(!client->closed);
+      BOOST_TEST(endpoint.disconnects == left);
+      fixture.Run(milliseconds(200));  // The client's deadline.
+      BOOST_TEST(client->closed);
+      BOOST_TEST(!client->NextResponse().whole);
+      BOOST_TEST(endpoint.disconnects == left + 1);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(silence_alone_does_not_end_an_answer_that_cannot_go_on_elsewhere) {
-  World world;
+  ProxyFixture fixture;
   const std::string body(200'000, 'b');
-  const auto behaviour = [&](Line& line, const Message& request) {
-    const std::string whole = Endpoint::Whole(request, body);
-    line.Write(whole.substr(0, 150'000));
-    world.endpoints[0]->Later(milliseconds(2200),
-                              [&line, rest = whole.substr(150'000)] { line.Write(rest); });
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    const std::string whole = Endpoint::Response(request, body);
+    connection.Write(whole.substr(0, 150'000));
+    fixture.endpoints[0]->RunAfter(milliseconds(2200), [&connection, rest = whole.substr(150'000)] {
+      connection.Write(rest);
+    });
   };
-  world.Add(behaviour);
-  world.Add(behaviour);
-  auto client = world.Ask(Request("/get/a"));
-  world.Run(milliseconds(2500));
-  BOOST_TEST((client->Answer().body == body));
-  BOOST_TEST(world.Served() == 1U);
+  fixture.Add(behaviour);
+  fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/get/a"));
+  fixture.Run(milliseconds(2500));
+  BOOST_TEST((client->NextResponse().body == body));
+  BOOST_TEST(fixture.RequestCount() == 1U);
 }
 
 // ---- The client has gone ----
@@ -236,21 +239,21 @@
 BOOST_AUTO_TEST_CASE(nothing_is_sent_for_a_client_that_left_while_the_proxy_stood_still) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      World world(seed);
-      Endpoint& endpoint = world.Add(Answers("x"));
-      auto warm = world.Ask(Request("/get/a", "warm"));
-      world.Run(milliseconds(50));
-      auto client = world.Dial();
-      world.Run(milliseconds(50));
-      world.process.SetPaused(true);
+      ProxyFixture fixture(seed);
+      Endpoint& endpoint = fixture.Add(RespondWith("x"));
+      auto warm = fixture.SendRequest(Request("/get/a", "warm"));
+      fixture.Run(milliseconds(50));
+      auto client = fixture.Dial();
+      fixture.Run(milliseconds(50));
+      fixture.process.SetPaused(true);
       client->Send(Request("/get/a", "01"));
-      world.Run(milliseconds(300));
-      client->Leave();
-      world.Run(milliseconds(700));
-      world.process.SetPaused(false);
-      world.Run(milliseconds(500));
+      fixture.Run(milliseconds(300));
+      client->Disconnect();
+      fixture.Run(milliseconds(700));
+      fixture.process.SetPaused(false);
+      fixture.Run(milliseconds(500));
       BOOST_TEST(endpoint.requests.size() == 1U);
-      BOOST_TEST(world.calls.held() == 0U);
+      BOOST_TEST(fixture.calls.held() == 0U);
     }
   }
 }
@@ -258,25 +261,25 @@
 // ---- Configurations that come and go meanwhile ----
 
 BOOST_AUTO_TEST_CASE(what_is_under_way_outlives_its_route_service_key_and_endpoint) {
-  World world;
-  Endpoint& endpoint = world.Add([&](Line& line, const Message& request) {
-    world.endpoints[0]->Stream(line, request, 20, milliseconds(50));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
+    fixture.endpoints[0]->Stream(connection, request, 20, milliseconds(50));
   });
-  auto client = world.Ask(Request("/stream/a", "01", "Shelflink-Credential: key-1\r\n"));
-  world.Run(milliseconds(200));
-  auto configuration = Sample();
+  auto client = fixture.SendRequest(Request("/stream/a", "01", "Shelflink-Credential: key-1\r\n"));
+  fixture.Run(milliseconds(200));
+  auto configuration = SampleConfiguration();
   configuration.version = 2;
   configuration.routes.clear();
   configuration.services.clear();
   configuration.tenants.clear();
   configuration.Index();
-  world.SetConfiguration(configuration);
+  fixture.SetConfiguration(configuration);
   endpoint.service = "other";
-  world.Tell();
-  world.view.endpoints = std::make_shared<shelflink::cluster::EndpointList>();
-  world.calls.OnView(world.view);
-  world.Run(milliseconds(1500));
-  const Message answer = client->Answer();
+  fixture.PublishEndpoints();
+  fixture.view.endpoints = std::make_shared<shelflink::cluster::EndpointList>();
+  fixture.calls.OnView(fixture.view);
+  fixture.Run(milliseconds(1500));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.body == Events(1, 20));
 }
@@ -290,9 +293,9 @@
     kelpspring::SocketBudget budget{500, 0, nullptr, nullptr};
     kelpspring::Drain drain;
     shelflink::proxy::EndpointCalls calls(process, log, budget, {"proxy", "zone", 1, 100});
-    shelflink::proxy::Front front(process, log, process.Listen(net::Address::V4(0x0a010001, 8689)),
-                                  budget, drain, {calls, nullptr, nullptr}, milliseconds(8000),
-                                  256 << 20);
+    shelflink::proxy::HttpFrontend front(
+        process, log, process.Listen(net::Address::V4(0x0a010001, 8689)), budget, drain,
+        {calls, nullptr, nullptr}, milliseconds(8000), 256 << 20);
     const std::string large_head = "X-Large: " + std::string(40'000, 'h') + "\r\n";
     const std::vector<std::string> requests = {
         Request("/post/a"), Request("/nowhere/a"),
@@ -304,7 +307,7 @@
         Client client(outside, front.address());
         client.Send(requests[number]);
         network.RunUntil(network.Now() + milliseconds(1000));
-        BOOST_TEST(client.Answer().Status() == 503);
+        BOOST_TEST(client.NextResponse().Status() == 503);
       }
     }
     network.Clear();
@@ -316,19 +319,19 @@
 BOOST_AUTO_TEST_CASE(a_stream_without_chunks_that_ends_inside_an_event_is_not_whole) {
   for (const bool resumable : {false, true}) {
     BOOST_TEST_CONTEXT(resumable) {
-      World world;
+      ProxyFixture fixture;
       int runs = 0;
-      const auto behaviour = [&](Line& line, const Message& request) {
+      const auto behaviour = [&](Connection& connection, const Message& request) {
         const bool again = runs++ > 0;
-        line.Write(Endpoint::Head(request, "Content-Type: text/event-stream\r\n") +
-                   (again ? Events(3, 4) : Events(1, 2) + "id: 3\ndata: tok"));
-        line.Close();
+        connection.Write(Endpoint::Head(request, "Content-Type: text/event-stream\r\n") +
+                         (again ? Events(3, 4) : Events(1, 2) + "id: 3\ndata: tok"));
+        connection.Close();
       };
-      world.Add(behaviour);
-      world.Add(behaviour);
-      auto client = world.Ask(Request(resumable ? "/resume/a" : "/stream/a"));
-      world.Run(milliseconds(500));
-      const Message answer = client->Answer();
+      fixture.Add(behaviour);
+      fixture.Add(behaviour);
+      auto client = fixture.SendRequest(Request(resumable ? "/resume/a" : "/stream/a"));
+      fixture.Run(milliseconds(500));
+      const Message answer = client->NextResponse();
       BOOST_TEST(answer.whole == resumable);
       BOOST_TEST(answer.body == Events(1, resumable ? 4 : 2));
     }
@@ -336,14 +339,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_stream_without_chunks_is_whole_by_its_end) {
-  World world;
-  world.Add([&](Line& line, const Message& request) {
-    line.Write(Endpoint::Head(request, "Content-Type: text/event-stream\r\n") + Events(1, 4));
-    line.Close();
+  ProxyFixture fixture;
+  fixture.Add([&](Connection& connection, const Message& request) {
+    connection.Write(Endpoint::Head(request, "Content-Type: text/event-stream\r\n") + Events(1, 4));
+    connection.Close();
   });
-  auto client = world.Ask(Request("/stream/a"));
-  world.Run(milliseconds(500));
-  const Message answer = client->Answer();
+  auto client = fixture.SendRequest(Request("/stream/a"));
+  fixture.Run(milliseconds(500));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.body == Events(1, 4));
 }
@@ -356,25 +359,27 @@
   for (const bool stream : {false, true}) {
     for (const bool reads_on : {false, true}) {
       BOOST_TEST_CONTEXT("stream " << stream << ", reads on " << reads_on) {
-        World world;
-        Line* first = nullptr;
-        Endpoint& endpoint = world.Add([](Line&, const Message&) {});
-        endpoint.on_head = [&](Line& line, const Message& request) {
+        ProxyFixture fixture;
+        Connection* first = nullptr;
+        Endpoint& endpoint = fixture.Add([](Connection&, const Message&) {});
+        endpoint.on_head = [&](Connection& connection, const Message& request) {
           if (first != nullptr) return;
-          first = &line;
-          line.Hold();
-          if (reads_on) endpoint.Later(milliseconds(100), [&line] { line.ReadOn(); });
-          if (stream) return endpoint.Stream(line, request, 20, milliseconds(20));
-          line.Write(Endpoint::Whole(request, long_answer));
+          first = &connection;
+          connection.PauseReading();
+          if (reads_on)
+            endpoint.RunAfter(milliseconds(100), [&connection] { connection.ResumeReading(); });
+          if (stream) return endpoint.Stream(connection, request, 20, milliseconds(20));
+          connection.Write(Endpoint::Response(request, long_answer));
         };
-        auto client = world.Ask(Request(stream ? "/stream/a" : "/post/a", "01", "", body));
-        world.Run(milliseconds(1000));
-        const Message answer = client->Answer();
+        auto client =
+            fixture.SendRequest(Request(stream ? "/stream/a" : "/post/a", "01", "", body));
+        fixture.Run(milliseconds(1000));
+        const Message answer = client->NextResponse();
         BOOST_TEST(answer.whole);
         BOOST_TEST((answer.body == (stream ? Events(1, 20) : long_answer)));
         BOOST_REQUIRE(first != nullptr);
-        if (!reads_on) first->ReadOn();  // So that it sees the end.
-        world.Run(milliseconds(100));
+        if (!reads_on) first->ResumeReading();  // So that it sees the end.
+        fixture.Run(milliseconds(100));
         BOOST_TEST(!first->open());
         BOOST_TEST(endpoint.connections == 1U);
         const std::string& text = first->received();
--- a/tests/tier/proxy/long_fields_test.cpp
+++ b/tests/tier/proxy/long_fields_test.cpp
@@ -4,31 +4,31 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 #include "tier/proxy/headers.h"
 
 namespace proxy = shelflink::proxy;
-using stand_in::Endpoint;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Request;
-using stand_in::World;
-using Line = Endpoint::Line;
+using proxy_test::Endpoint;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::ProxyFixture;
+using proxy_test::Request;
+using Connection = Endpoint::Connection;
 
 namespace {
 
 const std::string kLong(70'000, 'x');
 
-stand_in::Configuration WithHeaderLimit(std::size_t bytes) {
-  stand_in::Configuration configuration = stand_in::Sample();
+proxy_test::Configuration WithHeaderLimit(std::size_t bytes) {
+  proxy_test::Configuration configuration = proxy_test::SampleConfiguration();
   configuration.limits.max_header_bytes = bytes;
   return configuration;
 }
 
-void CheckServes(World& world) {
-  const auto next = world.Ask(Request("/post/b", "0c0d"));
-  world.Run(milliseconds(100));
-  const Message answer = next->Answer();
+void CheckServes(ProxyFixture& fixture) {
+  const auto next = fixture.SendRequest(Request("/post/b", "0c0d"));
+  fixture.Run(milliseconds(100));
+  const Message answer = next->NextResponse();
   BOOST_TEST(answer.Status() == 200);
   BOOST_TEST(answer.body == "served");
 }
@@ -48,39 +48,39 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(a_clients_long_header_is_over_the_limit_however_high_that_is) {
-  World world(1, WithHeaderLimit(1 << 20));
-  Endpoint& endpoint = world.Add(stand_in::Answers("served"));
+  ProxyFixture fixture(1, WithHeaderLimit(1 << 20));
+  Endpoint& endpoint = fixture.Add(proxy_test::RespondWith("served"));
   for (const std::string& line : {"X-Long: " + kLong + "\r\n", kLong + ": x\r\n"}) {
-    const auto client = world.Ask(Request("/post/a", "0a0b", line));
-    world.Run(milliseconds(100));
-    BOOST_TEST(client->Answer().Status() == 431);
-    BOOST_TEST(client->over);
-    CheckServes(world);
+    const auto client = fixture.SendRequest(Request("/post/a", "0a0b", line));
+    fixture.Run(milliseconds(100));
+    BOOST_TEST(client->NextResponse().Status() == 431);
+    BOOST_TEST(client->closed);
+    CheckServes(fixture);
   }
   BOOST_TEST(endpoint.requests.size() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_limit_beyond_32_bits_lets_all_heads_pass) {
-  World world(1, WithHeaderLimit(std::size_t{1} << 32));
-  world.Add(stand_in::Answers("served"));
-  CheckServes(world);
+  ProxyFixture fixture(1, WithHeaderLimit(std::size_t{1} << 32));
+  fixture.Add(proxy_test::RespondWith("served"));
+  CheckServes(fixture);
 }
 
 // Such an item may have been stored before it was refused on submission.
 BOOST_AUTO_TEST_CASE(an_items_long_header_is_left_out) {
-  World world;
-  Endpoint& endpoint = world.Add(stand_in::Answers("served"));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add(proxy_test::RespondWith("served"));
   proxy::CallRequest item;
   item.request_id = "e5b2";
   item.method = "POST";
   item.target = "/jobs/3/91c4";
   item.headers = {{"Host", "a.example"}, {"X-Long", kLong}, {kLong, "x"}, {"X-Short", "y"}};
-  item.configuration = world.view.configuration;
-  item.route = world.view.configuration->RouteNamed("lots");
+  item.configuration = fixture.view.configuration;
+  item.route = fixture.view.configuration->RouteNamed("lots");
   item.batch = true;
   User user;
-  world.calls.Start(std::move(item), user);
-  world.Run(milliseconds(100));
+  fixture.calls.Start(std::move(item), user);
+  fixture.Run(milliseconds(100));
   BOOST_TEST(user.status == 200);
   BOOST_REQUIRE(endpoint.requests.size() == 1U);
   BOOST_TEST(endpoint.requests[0].Value("X-Short") == "y");
--- a/tests/tier/proxy/mutants.cmake
+++ b/tests/tier/proxy/mutants.cmake
@@ -50,10 +50,10 @@
   [=[    const bool ended = fault != net::Fault::kNone;]=])
 proxy_mutant(a_client_that_left_is_served live_rules
   nothing_is_sent_for_a_client_that_left_while_the_proxy_stood_still
-  tier/proxy/front.cpp [=[return !client->HasLeft();]=] [=[return true;]=])
+  tier/proxy/http_frontend.cpp [=[return !client->HasLeft();]=] [=[return true;]=])
 proxy_mutant(a_deadline_counts_from_the_last_byte live_rules
   the_time_left_counts_from_the_requests_first_byte
-  tier/proxy/front.cpp [=[call.due = began + *wait;]=] [=[call.due = loop_.Now() + *wait;]=])
+  tier/proxy/http_frontend.cpp [=[call.due = began + *wait;]=] [=[call.due = loop_.Now() + *wait;]=])
 proxy_mutant(a_client_that_does_not_read_holds_for_ever live_rules
   a_client_that_does_not_read_holds_nothing_beyond_the_routes_time
   sidecar/upstream.cpp
--- a/tests/tier/proxy/mutation_test.cpp
+++ b/tests/tier/proxy/mutation_test.cpp
@@ -5,25 +5,25 @@
 #include <set>
 
 #include "proxy/mutations.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 
-using stand_in::Answers;
-using stand_in::Client;
-using stand_in::Endpoint;
-using stand_in::Lower;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Mutations;
-using stand_in::Request;
-using stand_in::Shown;
-using stand_in::World;
-using Line = Endpoint::Line;
+using proxy_test::Client;
+using proxy_test::Endpoint;
+using proxy_test::Lower;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::Mutations;
+using proxy_test::ProxyFixture;
+using proxy_test::Request;
+using proxy_test::RespondWith;
+using proxy_test::Shown;
+using Connection = Endpoint::Connection;
 
 namespace {
 
 std::string TargetOf(const Message& request) {
-  const std::size_t start = request.first.find(' ') + 1;
-  return request.first.substr(start, request.first.rfind(' ') - start);
+  const std::size_t start = request.start_line.find(' ') + 1;
+  return request.start_line.substr(start, request.start_line.rfind(' ') - start);
 }
 
 // What an endpoint may see of what a client has sent.
@@ -43,61 +43,61 @@
   }
 }
 
-void CheckClientMessage(World& world, const std::string& text) {
+void CheckClientMessage(ProxyFixture& fixture, const std::string& text) {
   BOOST_TEST_CONTEXT(Shown(text)) {
-    Endpoint& endpoint = *world.endpoints.front();
+    Endpoint& endpoint = *fixture.endpoints.front();
     endpoint.requests.clear();
-    auto client = world.Ask(text);
-    world.Run(milliseconds(30));
-    client->Leave();
+    auto client = fixture.SendRequest(text);
+    fixture.Run(milliseconds(30));
+    client->Disconnect();
     for (const Message& seen : endpoint.requests) CheckSeen(seen, text);
     while (true) {
-      const Message answer = client->Answer();
+      const Message answer = client->NextResponse();
       if (!answer.whole) break;
       const bool success = answer.Status() == 200;
       BOOST_TEST((answer.Value("Shelflink-Response-Stamp") == "stamp.1") == success);
       if (success) BOOST_TEST(answer.body == "served");
     }
-    world.Run(milliseconds(10));
+    fixture.Run(milliseconds(10));
   }
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(clients_requests_with_a_length) {
-  World world;
-  world.Add(Answers("served"));
-  const std::string& text = stand_in::kRequestWithLength;
+  ProxyFixture fixture;
+  fixture.Add(RespondWith("served"));
+  const std::string& text = proxy_test::kRequestWithLength;
   const std::string next =
       "POST /keyed/b HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 0c0d\r\n"
       "Shelflink-Credential: key-2\r\nContent-Length: 0\r\n\r\n";
-  for (const std::string& mutation : Mutations(text)) CheckClientMessage(world, mutation + next);
-  BOOST_TEST(world.calls.held() == 0U);
+  for (const std::string& mutation : Mutations(text)) CheckClientMessage(fixture, mutation + next);
+  BOOST_TEST(fixture.calls.held() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(clients_requests_in_chunks) {
-  World world;
-  world.Add(Answers("served"));
-  const std::string& text = stand_in::kRequestInChunks;
+  ProxyFixture fixture;
+  fixture.Add(RespondWith("served"));
+  const std::string& text = proxy_test::kRequestInChunks;
   const std::string next =
       "GET /get/b HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 0c0d\r\n\r\n";
   for (const std::string& mutation : Mutations(text)) {
     BOOST_TEST_CONTEXT(Shown(mutation)) {
-      Endpoint& endpoint = *world.endpoints.front();
+      Endpoint& endpoint = *fixture.endpoints.front();
       endpoint.requests.clear();
-      auto client = world.Ask(mutation + next);
-      world.Run(milliseconds(30));
-      client->Leave();
+      auto client = fixture.SendRequest(mutation + next);
+      fixture.Run(milliseconds(30));
+      client->Disconnect();
       for (const Message& seen : endpoint.requests) {
         BOOST_TEST(seen.Count("Transfer-Encoding") == 0U);
         BOOST_TEST(seen.body.size() <= mutation.size() + next.size());
         // Nothing of the next request was taken for this one's body but by its own length.
         if (seen.Value("Shelflink-Request-Id") == "0c0d") BOOST_TEST(seen.body.empty());
       }
-      world.Run(milliseconds(10));
+      fixture.Run(milliseconds(10));
     }
   }
-  BOOST_TEST(world.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.held() == 0U);
 }
 
 namespace {
@@ -105,23 +105,23 @@
 // An endpoint that answers the first request with that text, and the others well.
 void CheckAnswer(const std::string& path, const std::string& text, bool may_pass_body) {
   BOOST_TEST_CONTEXT(Shown(text)) {
-    World world;
+    ProxyFixture fixture;
     bool first = true;
-    world.Add([&](Line& line, const Message& request) {
+    fixture.Add([&](Connection& connection, const Message& request) {
       if (std::exchange(first, false)) {
-        line.Write(text);
-        world.endpoints[0]->Later(milliseconds(100), [&line] { line.Close(); });
+        connection.Write(text);
+        fixture.endpoints[0]->RunAfter(milliseconds(100), [&connection] { connection.Close(); });
       } else {
-        line.Write(Endpoint::Whole(request, "the next one's"));
+        connection.Write(Endpoint::Response(request, "the next one's"));
       }
     });
-    auto client = world.Ask(Request(path, "0a0b"));
-    world.Run(milliseconds(50));
+    auto client = fixture.SendRequest(Request(path, "0a0b"));
+    fixture.Run(milliseconds(50));
     // While the first may still be waited for.
-    auto next = world.Ask(Request("/post/a", "0c0d"));
-    world.Run(milliseconds(300));
-    BOOST_TEST(next->Answer().body == "the next one's");
-    const Message answer = client->Answer();
+    auto next = fixture.SendRequest(Request("/post/a", "0c0d"));
+    fixture.Run(milliseconds(300));
+    BOOST_TEST(next->NextResponse().body == "the next one's");
+    const Message answer = client->NextResponse();
     BOOST_TEST(answer.Status() != 503);
     BOOST_TEST(answer.Status() != 429);
     if (answer.Status() / 100 == 2) {
@@ -129,7 +129,7 @@
       BOOST_TEST(answer.Count("Shelflink-Response-Stamp") >= 1U);
       if (answer.whole) BOOST_TEST((may_pass_body || !answer.body.empty()));
     }
-    BOOST_TEST(world.endpoints[0]->requests.size() == 2U);
+    BOOST_TEST(fixture.endpoints[0]->requests.size() == 2U);
   }
 }
 
@@ -164,18 +164,18 @@
        {std::pair<std::string, std::string>{"/post/a", sized}, {"/stream/a", stream}}) {
     for (std::size_t length = 0; length < text.size(); ++length) {
       BOOST_TEST_CONTEXT(Shown(text.substr(0, length))) {
-        World world;
+        ProxyFixture fixture;
         const std::string part = text.substr(0, length);
-        world.Add([&](Line& line, const Message&) {
-          line.Write(part);
-          world.endpoints[0]->Later(milliseconds(20), [&line] { line.Close(); });
+        fixture.Add([&](Connection& connection, const Message&) {
+          connection.Write(part);
+          fixture.endpoints[0]->RunAfter(milliseconds(20), [&connection] { connection.Close(); });
         });
-        auto client = world.Ask(Request(path, "0a0b"));
-        world.Run(milliseconds(100));
-        const Message answer = client->Answer();
+        auto client = fixture.SendRequest(Request(path, "0a0b"));
+        fixture.Run(milliseconds(100));
+        const Message answer = client->NextResponse();
         if (answer.Status() == 200) {
           BOOST_TEST(!answer.whole);
-          BOOST_TEST(client->over);
+          BOOST_TEST(client->closed);
         } else {
           BOOST_TEST(answer.Status() == 502);
         }
--- a/tests/tier/proxy/mutations.h
+++ b/tests/tier/proxy/mutations.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace stand_in {
+namespace proxy_test {
 
 inline const std::string kRequestWithLength =
     "POST /keyed/a?q HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 0a0b\r\n"
@@ -61,6 +61,6 @@
   return shown;
 }
 
-}  // namespace stand_in
+}  // namespace proxy_test
 
 #endif  // TESTS_TIER_PROXY_MUTATIONS_H_
--- a/tests/tier/proxy/parts_test.cpp
+++ b/tests/tier/proxy/parts_test.cpp
@@ -2,14 +2,14 @@
 #define BOOST_TEST_MODULE proxy_parts
 #include <boost/test/unit_test.hpp>
 
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 #include "tier/proxy/batch_requests.h"
 #include "tier/proxy/headers.h"
-#include "tier/proxy/levels.h"
+#include "tier/proxy/priority_levels.h"
 #include "tier/proxy/readiness.h"
 
 namespace proxy = shelflink::proxy;
-using stand_in::milliseconds;
+using proxy_test::milliseconds;
 
 BOOST_AUTO_TEST_CASE(token_counts_and_prompts) {
   const auto count = proxy::ParseTokenCount("1460,80");
@@ -50,7 +50,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(one_level_for_each_priority_and_one_for_items) {
-  auto configuration = stand_in::Sample();
+  auto configuration = proxy_test::SampleConfiguration();
   configuration.routes[0].priority = 2;
   configuration.routes[1].priority = 0;
   configuration.routes[2].priority = 2;
@@ -58,14 +58,14 @@
   configuration.routes[4].priority = 0;
   configuration.routes[5].priority = 7;  // Batch.
   configuration.tenants[0].priority = 1;
-  const proxy::Levels levels(configuration);
+  const proxy::PriorityLevels levels(configuration);
   BOOST_TEST(levels.count() == 4U);
   BOOST_TEST(levels.Of(0) == 0U);
   BOOST_TEST(levels.Of(1) == 1U);
   BOOST_TEST(levels.Of(2) == 2U);
   BOOST_TEST(levels.Of(9) == 2U);
   BOOST_TEST(levels.batch() == 3U);
-  BOOST_TEST(proxy::Levels().count() == 2U);
+  BOOST_TEST(proxy::PriorityLevels().count() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(readiness) {
--- a/tests/tier/proxy/path_cost.cpp
+++ b/tests/tier/proxy/path_cost.cpp
@@ -22,7 +22,7 @@
 
 #include "net/glib_loop.h"
 #include "net/sockets.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 
 namespace {
 
@@ -43,11 +43,12 @@
   kelpspring::SocketBudget budget{500, 0, nullptr, nullptr};
   kelpspring::Drain drain;
   shelflink::proxy::EndpointCalls calls(loop, log, budget, {"proxy", "zone", 1, 300});
-  shelflink::proxy::Front front(loop, log, loop.Listen(*net::Address::Parse("127.0.0.1:0")), budget,
-                                drain, {calls, nullptr, nullptr}, milliseconds(8000), 64 << 20);
+  shelflink::proxy::HttpFrontend front(loop, log, loop.Listen(*net::Address::Parse("127.0.0.1:0")),
+                                       budget, drain, {calls, nullptr, nullptr}, milliseconds(8000),
+                                       64 << 20);
   shelflink::cluster::View view;
-  view.configuration =
-      std::make_shared<const shelflink::configuration::Configuration>(stand_in::Sample());
+  view.configuration = std::make_shared<const shelflink::configuration::Configuration>(
+      proxy_test::SampleConfiguration());
   auto list = std::make_shared<shelflink::cluster::EndpointList>();
   shelflink::cluster::EndpointEntry entry;
   entry.id = "i-0";
@@ -75,7 +76,7 @@
 };
 
 void CopyHeader(const char* name, const char* value, gpointer to) {
-  const std::string lower = stand_in::Lower(name);
+  const std::string lower = proxy_test::Lower(name);
   if (lower == "content-length" || lower == "transfer-encoding" || lower == "connection" ||
       lower == "keep-alive") {
     return;
@@ -161,9 +162,9 @@
   net::Address address() const { return listener_->address(); }
 
  private:
-  class Line : public net::StreamUser {
+  class Connection : public net::StreamUser {
    public:
-    Line(Endpoint& owner, net::StreamPtr stream)
+    Connection(Endpoint& owner, net::StreamPtr stream)
         : owner_(owner),
           stream_(std::move(stream)),
           timer_(owner.loop_.NewTimer([this] { Next(); })) {
@@ -174,12 +175,12 @@
    private:
     void OnBytes(std::string_view bytes) override {
       text_.append(bytes);
-      const stand_in::Message request = stand_in::TakeMessage(text_, false, false);
+      const proxy_test::Message request = proxy_test::TakeMessage(text_, false, false);
       if (request.whole) {
         if (owner_.events_ == 0) {
-          stream_->Write(stand_in::Endpoint::Whole(request, "the whole answer"));
+          stream_->Write(proxy_test::Endpoint::Response(request, "the whole answer"));
         } else {
-          stream_->Write(stand_in::Endpoint::StreamHead(request));
+          stream_->Write(proxy_test::Endpoint::StreamHead(request));
           sent_ = 0;
           Next();
         }
@@ -189,7 +190,7 @@
     void OnEnd(net::Fault) override { stream_->Close(); }
     void Next() {
       if (sent_ == owner_.events_) return void(stream_->Write("0\r\n\r\n"));
-      stream_->Write(stand_in::Endpoint::Chunk(stand_in::Endpoint::EventText(++sent_)));
+      stream_->Write(proxy_test::Endpoint::Chunk(proxy_test::Endpoint::EventText(++sent_)));
       timer_->ArmAt(owner_.loop_.Now() + kGap);
     }
 
@@ -203,7 +204,7 @@
   void Accept() {
     listener_->Accept([this](net::Fault fault, net::StreamPtr stream) {
       if (fault == net::Fault::kNone) {
-        lines_.push_back(std::make_unique<Line>(*this, std::move(stream)));
+        lines_.push_back(std::make_unique<Connection>(*this, std::move(stream)));
       }
       Accept();
     });
@@ -212,7 +213,7 @@
   net::Loop& loop_;
   int events_;
   net::ListenerPtr listener_;
-  std::vector<std::unique_ptr<Line>> lines_;
+  std::vector<std::unique_ptr<Connection>> lines_;
 };
 
 // Sends its requests one after the other on one connection.
@@ -229,30 +230,30 @@
  private:
   void OnConnected(net::Fault fault) override {
     if (fault != net::Fault::kNone) std::abort();
-    Ask();
+    SendRequest();
     stream_->Receive();
   }
-  void Ask() {
+  void SendRequest() {
     const std::string id = std::to_string(number_) + "-" + std::to_string(left_);
     stream_->Write(
-        stand_in::Request(path_, id,
-                          "Shelflink-Model: m\r\nShelflink-Token-Count: 1460,80\r\n"
-                          "Shelflink-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n",
-                          std::string(400, 'p')));
+        proxy_test::Request(path_, id,
+                            "Shelflink-Model: m\r\nShelflink-Token-Count: 1460,80\r\n"
+                            "Shelflink-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n",
+                            std::string(400, 'p')));
   }
   void OnBytes(std::string_view bytes) override {
     text_.append(bytes);
-    const stand_in::Message answer = stand_in::TakeMessage(text_, true, false);
+    const proxy_test::Message answer = proxy_test::TakeMessage(text_, true, false);
     if (answer.whole) {
       if (answer.Status() != 200) {
-        std::fprintf(stderr, "%s\n", answer.first.c_str());
+        std::fprintf(stderr, "%s\n", answer.start_line.c_str());
         std::abort();
       }
       if (--left_ == 0) {
         stream_->Close();
         return done_();
       }
-      Ask();
+      SendRequest();
     }
     stream_->Receive();
   }
--- a/tests/tier/proxy/program_test.cpp
+++ b/tests/tier/proxy/program_test.cpp
@@ -6,16 +6,16 @@
 #include <boost/test/unit_test.hpp>
 
 #include "cluster/rig.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 
+using proxy_test::Client;
+using proxy_test::Endpoint;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::Request;
+using proxy_test::RespondWith;
 using shelflink::cluster::Rig;
 using shelflink::cluster::RigSettings;
-using stand_in::Answers;
-using stand_in::Client;
-using stand_in::Endpoint;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Request;
 using std::chrono::seconds;
 
 namespace {
@@ -39,7 +39,7 @@
 struct Tier {
   Tier()
       : rig(3, 0),
-        endpoint(rig.net, kEndpointHost, "i-0", Answers("the bytes")),
+        endpoint(rig.net, kEndpointHost, "i-0", RespondWith("the bytes")),
         outside(rig.net, 0x0a090001, "clients", 1000),
         process(rig.net, kHost, "edge-1", 4100),
         program(std::make_unique<shelflink::proxy::Program>(process, SettingsOfProxy())) {
@@ -60,8 +60,8 @@
     Client client(outside, net::Address::V4(kHost, port));
     client.Send(text);
     rig.Run(milliseconds(300));
-    Message answer = client.Answer();
-    client.Leave();
+    Message answer = client.NextResponse();
+    client.Disconnect();
     return answer;
   }
   Message AskReady() { return Ask(8687, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); }
@@ -111,8 +111,8 @@
     tier.rig.Run(milliseconds(500));
     client.Send(check.substr(cut));
     tier.rig.Run(milliseconds(100));
-    BOOST_TEST(client.Answer().Status() == 200);
-    client.Leave();
+    BOOST_TEST(client.NextResponse().Status() == 200);
+    client.Disconnect();
   }
 }
 
@@ -161,12 +161,12 @@
   Client client(tier.outside, net::Address::V4(kHost, kReadyPort));
   client.Send(MetricsRequest("HEAD") + "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
   tier.rig.Run(milliseconds(300));
-  const std::size_t head_end = client.came.find("\r\n\r\n");
+  const std::size_t head_end = client.received.find("\r\n\r\n");
   BOOST_REQUIRE(head_end != std::string::npos);
-  BOOST_TEST(client.came.starts_with("HTTP/1.1 200"));
-  BOOST_TEST(client.came.substr(head_end + 4).starts_with("HTTP/1.1 200"));  // Of /ready.
-  BOOST_TEST(client.came.find("shelflink_") == std::string::npos);
-  client.Leave();
+  BOOST_TEST(client.received.starts_with("HTTP/1.1 200"));
+  BOOST_TEST(client.received.substr(head_end + 4).starts_with("HTTP/1.1 200"));  // Of /ready.
+  BOOST_TEST(client.received.find("shelflink_") == std::string::npos);
+  client.Disconnect();
   const Message refused = tier.Ask(kReadyPort, MetricsRequest("DELETE"));
   BOOST_TEST(refused.Status() == 405);
   BOOST_TEST(refused.Value("Allow") == "GET, HEAD");
@@ -184,8 +184,8 @@
     BOOST_TEST(tier.Ready() == 200);
     client.Send(request.substr(cut));
     tier.rig.Run(milliseconds(100));
-    BOOST_TEST(HasLine(client.Answer(), "shelflink_ready 1"));
-    client.Leave();
+    BOOST_TEST(HasLine(client.NextResponse(), "shelflink_ready 1"));
+    client.Disconnect();
   }
 }
 
@@ -200,7 +200,7 @@
     if (i % 10 == 9) BOOST_TEST(tier.Ready() == 200);
   }
   BOOST_TEST(tier.Ready() == 200);
-  for (const auto& reader : readers) reader->Leave();
+  for (const auto& reader : readers) reader->Disconnect();
 }
 
 BOOST_AUTO_TEST_CASE(a_drain_on_the_platforms_list_binds) {
@@ -248,10 +248,10 @@
 BOOST_AUTO_TEST_CASE(leaves_in_order) {
   Tier tier;
   tier.Begin();
-  tier.endpoint.behaviour = [&](Endpoint::Line& line, const Message& request) {
+  tier.endpoint.behaviour = [&](Endpoint::Connection& line, const Message& request) {
     const Message kept = request;
-    tier.endpoint.Later(milliseconds(700),
-                        [&line, kept] { line.Write(Endpoint::Whole(kept, "late")); });
+    tier.endpoint.RunAfter(milliseconds(700),
+                           [&line, kept] { line.Write(Endpoint::Response(kept, "late")); });
   };
   Client held(tier.outside, net::Address::V4(kHost, 8689));
   held.Send(Request("/a/x", "held"));
@@ -260,7 +260,7 @@
   tier.program->Leave([&] { done = true; });
   BOOST_TEST(tier.Ready() == 503);
   tier.rig.Run(milliseconds(500));
-  const Message answer = held.Answer();
+  const Message answer = held.NextResponse();
   BOOST_TEST(answer.body == "late");
   BOOST_TEST(answer.Value("Connection") == "close");
   BOOST_TEST(!done);  // The platform may still send connections.
--- a/tests/tier/proxy/stand_in.h
+++ b/tests/tier/proxy/proxy_fixture.h
@@ -1,7 +1,8 @@
-// Endpoints and clients of our own, written from PROTOCOL, on the virtual network; and a proxy's
-// front and calls between them. Everything runs on one virtual clock.
-#ifndef TESTS_TIER_PROXY_STAND_IN_H_
-#define TESTS_TIER_PROXY_STAND_IN_H_
+// Test fixture: fake endpoints and clients, written independently from PROTOCOL, on the virtual
+// network, with a proxy's HttpFrontend and EndpointCalls between them. Everything runs on one
+// virtual clock.
+#ifndef TESTS_TIER_PROXY_PROXY_FIXTURE_H_
+#define TESTS_TIER_PROXY_PROXY_FIXTURE_H_
 
 #include <algorithm>
 #include <cctype>
@@ -20,9 +21,9 @@
 #include "sidecar/log.h"
 #include "tier/cluster/view.h"
 #include "tier/proxy/endpoint_calls.h"
-#include "tier/proxy/front.h"
+#include "tier/proxy/http_frontend.h"
 
-namespace stand_in {
+namespace proxy_test {
 
 using std::chrono::milliseconds;
 
@@ -33,12 +34,12 @@
   return lower;
 }
 
-// A message as a strict reader sees it.
+// An HTTP message as parsed by TakeMessage, which accepts only strict syntax.
 struct Message {
-  std::string first;  // Request or status line.
+  std::string start_line;  // Request line or status line.
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  bool whole = false;
+  bool whole = false;  // All of the message has been received.
 
   std::string Value(std::string_view name) const {
     for (const auto& [key, value] : headers) {
@@ -54,8 +55,9 @@
   int Status() const { return first.size() > 12 ? std::stoi(first.substr(9, 3)) : 0; }
 };
 
-// Takes one message off the front of the text where it is whole; what is there of it otherwise.
-// `ended`: no more comes.
+// Parses the first message in `text`. A complete message is removed from `text`; otherwise `text`
+// stays unchanged and the parsed part is returned with `whole` false. `answer`: the message is a
+// response. `ended`: the peer has closed the connection.
 inline Message TakeMessage(std::string& text, bool answer, bool ended) {
   Message message;
   const std::size_t end = text.find("\r\n\r\n");
@@ -65,7 +67,7 @@
     const std::size_t stop = text.find("\r\n", at);
     const std::string line = text.substr(at, stop - at);
     if (at == 0) {
-      message.first = line;
+      message.start_line = line;
     } else {
       const std::size_t colon = line.find(':');
       message.headers.emplace_back(line.substr(0, colon), line.substr(colon + 2));
@@ -98,13 +100,13 @@
   return message;
 }
 
-// An endpoint: what it does with each request is the test's to say.
+// A fake endpoint. The test supplies the Behaviour that handles each request.
 class Endpoint {
  public:
-  // One connection to it.
-  class Line : public net::StreamUser {
+  // Server side of one connection to the endpoint.
+  class Connection : public net::StreamUser {
    public:
-    Line(Endpoint& owner, net::StreamPtr stream) : owner_(owner), stream_(std::move(stream)) {
+    Connection(Endpoint& owner, net::StreamPtr stream) : owner_(owner), stream_(std::move(stream)) {
       stream_->SetUser(*this);
       stream_->Receive();
     }
@@ -122,13 +124,14 @@
     }
     bool open() const { return open_; }
     net::Address peer() const { return stream_->peer(); }
-    // Stops reading, until ReadOn.
-    void Hold() { held_ = true; }
-    void ReadOn() {
-      if (std::exchange(held_, false) && open_) stream_->Receive();
+    // Stops reading until ResumeReading.
+    void PauseReading() { reading_paused_ = true; }
+    void ResumeReading() {
+      if (std::exchange(reading_paused_, false) && open_) stream_->Receive();
     }
-    std::size_t served() const { return served_; }             // Requests that came whole on it.
-    const std::string& received() const { return received_; }  // Every byte that was read.
+    // Complete requests received on this connection.
+    std::size_t request_count() const { return request_count_; }
+    const std::string& received() const { return received_; }  // All bytes read so far.
 
    private:
     void OnBytes(std::string_view bytes) override {
@@ -137,22 +140,23 @@
       while (open_) {
         Message request = TakeMessage(text_, false, false);
         if (!request.whole) {
-          TellHead(request);
+          ReportHead(request);
           break;
         }
-        head_told_ = false;
-        ++served_;
+        head_reported_ = false;
+        ++request_count_;
         owner_.Serve(*this, std::move(request));
       }
-      if (open_ && !held_) stream_->Receive();
+      if (open_ && !reading_paused_) stream_->Receive();
     }
-    void TellHead(const Message& request) {
-      if (request.first.empty() || !owner_.on_head || std::exchange(head_told_, true)) return;
+    void ReportHead(const Message& request) {
+      if (request.start_line.empty() || !owner_.on_head || std::exchange(head_reported_, true))
+        return;
       owner_.on_head(*this, request);
     }
     void OnEnd(net::Fault) override {
       open_ = false;
-      ++owner_.left;
+      ++owner_.disconnects;
     }
     void OnWritable() override {
       if (open_) unsent_.erase(0, stream_->Write(unsent_).bytes);
@@ -163,34 +167,37 @@
     std::string text_;
     std::string unsent_;
     std::string received_;
-    std::size_t served_ = 0;
+    std::size_t request_count_ = 0;
     bool open_ = true;
-    bool held_ = false;
-    bool head_told_ = false;
+    bool reading_paused_ = false;
+    bool head_reported_ = false;
   };
-  using Behaviour = std::function<void(Line& line, const Message& request)>;
+  using Behaviour = std::function<void(Connection& connection, const Message& request)>;
 
-  Endpoint(net::VirtualNet& network, std::uint32_t host, std::string instance, Behaviour how)
+  Endpoint(net::VirtualNet& network, std::uint32_t host, std::string instance, Behaviour on_request)
       : id(std::move(instance)),
-        behaviour(std::move(how)),
+        behaviour(std::move(on_request)),
         process(network, host, id, 1000),
         address(net::Address::V4(host, 8080)),
         listener_(process.Listen(address)) {
     Accept();
   }
 
-  // The head of an answer to the request, with its id and a stamp.
+  // Status line and headers of a response with the request's id and a response stamp; `more` is
+  // added to the headers.
   static std::string Head(const Message& request, const std::string& more, int status = 200) {
     return "HTTP/1.1 " + std::to_string(status) +
            " Any\r\nShelflink-Request-Id: " + request.Value("Shelflink-Request-Id") +
            "\r\nShelflink-Response-Stamp: stamp.1\r\n" + more + "\r\n";
   }
-  static std::string Whole(const Message& request, const std::string& body, int status = 200,
-                           const std::string& more = "") {
+  // A response with a Content-Length.
+  static std::string Response(const Message& request, const std::string& body, int status = 200,
+                              const std::string& more = "") {
     return Head(request, more + "Content-Length: " + std::to_string(body.size()) + "\r\n", status) +
            body;
   }
-  static std::string NotRun(const Message& request, int status = 503) {
+  // A response stating that the endpoint did not execute the request.
+  static std::string NotRunResponse(const Message& request, int status = 503) {
     return "HTTP/1.1 " + std::to_string(status) +
            " Any\r\nShelflink-Request-Id: " + request.Value("Shelflink-Request-Id") +
            "\r\nShelflink-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
@@ -206,20 +213,21 @@
   static std::string EventText(int number) {
     return "id: " + std::to_string(number) + "\ndata: token " + std::to_string(number) + "\n\n";
   }
-  // Answers with the events from the one behind Last-Event-Id to `last`, one each `gap`; `then` is
-  // called with the line behind the last one instead of the regular end.
-  void Stream(Line& line, const Message& request, int last, milliseconds gap = milliseconds(20),
-              std::function<void(Line&)> then = nullptr) {
+  // Responds with the events after Last-Event-Id up to `last`, one every `gap`. After the last
+  // event the stream is completed, or `then` is called with the connection if it is given.
+  void Stream(Connection& connection, const Message& request, int last,
+              milliseconds gap = milliseconds(20),
+              std::function<void(Connection&)> then = nullptr) {
     const std::string behind = request.Value("Last-Event-Id");
-    line.Write(StreamHead(request));
-    StreamOn(line, (behind.empty() ? 0 : std::stoi(behind)) + 1, last, gap, std::move(then));
+    connection.Write(StreamHead(request));
+    StreamOn(connection, (behind.empty() ? 0 : std::stoi(behind)) + 1, last, gap, std::move(then));
   }
 
-  void Later(milliseconds span, std::function<void()> step) {
-    timers_.push_back(process.NewTimer(std::move(step)));
-    timers_.back()->ArmAt(process.Now() + span);
+  void RunAfter(milliseconds delay, std::function<void()> action) {
+    timers_.push_back(process.NewTimer(std::move(action)));
+    timers_.back()->ArmAt(process.Now() + delay);
   }
-  // Stops listening and resets everything, as a crash does.
+  // Stops listening and resets all connections, like a crashed process.
   void Crash() {
     process.Kill();
     crashed = true;
@@ -227,49 +235,52 @@
 
   std::string id;
   Behaviour behaviour;
-  Behaviour on_head;  // Told of a request whose head has come and whose body has not. May be empty.
+  // Called when the head of a request has been received and its body has not. May be empty.
+  Behaviour on_head;
   net::VirtualProcess process;
   net::Address address;
   std::vector<Message> requests;
   std::size_t connections = 0;
-  std::size_t left = 0;  // Ended by the other side.
+  std::size_t disconnects = 0;  // Connections closed by the peer.
   bool draining = false;
   bool crashed = false;
   std::string service = "svc";
 
  private:
-  void Serve(Line& line, Message request) {
+  void Serve(Connection& connection, Message request) {
     requests.push_back(std::move(request));
     const std::string expected = requests.back().Value("Shelflink-Expect-Instance");
-    if (!expected.empty() && expected != id) return line.Write(NotRun(requests.back(), 421));
-    behaviour(line, requests.back());
+    if (!expected.empty() && expected != id)
+      return connection.Write(NotRunResponse(requests.back(), 421));
+    behaviour(connection, requests.back());
   }
-  void StreamOn(Line& line, int next, int last, milliseconds gap, std::function<void(Line&)> then) {
-    if (!line.open()) return;
+  void StreamOn(Connection& connection, int next, int last, milliseconds gap,
+                std::function<void(Connection&)> then) {
+    if (!connection.open()) return;
     if (next > last) {
-      if (then) return then(line);
-      return line.Write("0\r\n\r\n");
+      if (then) return then(connection);
+      return connection.Write("0\r\n\r\n");
     }
-    line.Write(Chunk(EventText(next)));
-    Later(gap, [this, &line, next, last, gap, then = std::move(then)]() mutable {
-      StreamOn(line, next + 1, last, gap, std::move(then));
+    connection.Write(Chunk(EventText(next)));
+    RunAfter(gap, [this, &connection, next, last, gap, then = std::move(then)]() mutable {
+      StreamOn(connection, next + 1, last, gap, std::move(then));
     });
   }
   void Accept() {
     listener_->Accept([this](net::Fault fault, net::StreamPtr stream) {
       if (fault != net::Fault::kNone) return;
       ++connections;
-      lines_.push_back(std::make_unique<Line>(*this, std::move(stream)));
+      connections_.push_back(std::make_unique<Connection>(*this, std::move(stream)));
       Accept();
     });
   }
 
   net::ListenerPtr listener_;
-  std::deque<std::unique_ptr<Line>> lines_;
+  std::deque<std::unique_ptr<Connection>> connections_;
   std::deque<net::TimerPtr> timers_;
 };
 
-// A client's connection: sends raw bytes, keeps what comes.
+// One client connection: sends raw bytes and records what it receives.
 class Client : public net::StreamUser {
  public:
   Client(net::VirtualProcess& process, const net::Address& to)
@@ -277,53 +288,54 @@
 
   void Send(const std::string& text) {
     unsent_ += text;
-    if (up_) OnWritable();
+    if (connected_) OnWritable();
   }
-  void Leave() {
+  void Disconnect() {
     stream_->Close();
-    over = true;
+    closed = true;
   }
-  // Stops reading.
-  void Hold() { held_ = true; }
-  // The next answer; what has come of it where it is not whole.
-  Message Answer() {
-    Message answer = TakeMessage(came, true, over);
-    while (answer.whole && answer.Status() / 100 == 1) answer = TakeMessage(came, true, over);
+  void PauseReading() { reading_paused_ = true; }
+  // Takes the next final response (1xx responses are skipped). If it is incomplete, returns the
+  // part received so far with `whole` false.
+  Message NextResponse() {
+    Message answer = TakeMessage(received, true, closed);
+    while (answer.whole && answer.Status() / 100 == 1) answer = TakeMessage(received, true, closed);
     return answer;
   }
 
-  std::string came;
-  std::vector<std::pair<net::Time, std::string>> pieces;  // As they were read.
-  bool over = false;
-  net::Fault how = net::Fault::kNone;
-  net::Time ended{};
+  std::string received;  // Bytes that NextResponse has not taken yet.
+  // Every read with its time.
+  std::vector<std::pair<net::Time, std::string>> received_parts;
+  bool closed = false;
+  net::Fault close_reason = net::Fault::kNone;
+  net::Time closed_at{};
 
  private:
   void OnConnected(net::Fault fault) override {
     if (fault != net::Fault::kNone) return OnEnd(fault);
-    up_ = true;
+    connected_ = true;
     OnWritable();
     stream_->Receive();
   }
   void OnWritable() override {
-    if (!over && !unsent_.empty()) unsent_.erase(0, stream_->Write(unsent_).bytes);
+    if (!closed && !unsent_.empty()) unsent_.erase(0, stream_->Write(unsent_).bytes);
   }
   void OnBytes(std::string_view bytes) override {
-    came.append(bytes);
-    pieces.emplace_back(process_.Now(), std::string(bytes));
-    if (!held_) stream_->Receive();
+    received.append(bytes);
+    received_parts.emplace_back(process_.Now(), std::string(bytes));
+    if (!reading_paused_) stream_->Receive();
   }
   void OnEnd(net::Fault fault) override {
-    over = true;
-    how = fault;
-    ended = process_.Now();
+    closed = true;
+    close_reason = fault;
+    closed_at = process_.Now();
   }
 
   net::VirtualProcess& process_;
   net::StreamPtr stream_;
   std::string unsent_;
-  bool up_ = false;
-  bool held_ = false;
+  bool connected_ = false;
+  bool reading_paused_ = false;
 };
 
 using shelflink::configuration::Configuration;
@@ -345,8 +357,9 @@
   return route;
 }
 
-// Routes /get/ (idempotent), /post/ (not), /stream/ and /resume/ (streams), /keyed/ (with a key).
-inline Configuration Sample() {
+// Routes: /get/ (idempotent), /post/ (not idempotent), /stream/ and /resume/ (event streams, the
+// latter resumable), /keyed/ (requires an API key), /jobs/ (batch).
+inline Configuration SampleConfiguration() {
   Configuration configuration;
   configuration.version = 1;
   configuration.routes = {
@@ -363,22 +376,24 @@
   return configuration;
 }
 
-class World {
+// A proxy, its clients and its endpoints. `memory` is the proxy's memory limit in bytes.
+class ProxyFixture {
  public:
-  explicit World(std::uint64_t seed = 1, Configuration configuration = Sample(),
-                 std::uint64_t memory = 64 << 20, shelflink::proxy::BatchFront* batch = nullptr)
+  explicit ProxyFixture(std::uint64_t seed = 1, Configuration configuration = SampleConfiguration(),
+                        std::uint64_t memory = 64 << 20,
+                        shelflink::proxy::BatchJobService* batch = nullptr)
       : network(seed),
         process(network, 0x0a010001, "proxy", 1000),
-        outside(network, 0x0a090001, "clients", 1000),
-        log(process, [this](std::string_view line) { lines.emplace_back(line); }),
+        client_process(network, 0x0a090001, "clients", 1000),
+        log(process, [this](std::string_view line) { log_lines.emplace_back(line); }),
         budget{500, 0, nullptr, nullptr},
         calls(process, log, budget, {"proxy", "zone", seed, 100}),
         front(process, log, process.Listen(net::Address::V4(0x0a010001, 8689)), budget, drain,
-              {calls, batch, [this](const std::string& tenant) { ++used[tenant]; }},
+              {calls, batch, [this](const std::string& tenant) { ++usage[tenant]; }},
               milliseconds(8000), memory) {
     SetConfiguration(std::move(configuration));
   }
-  ~World() { network.Clear(); }
+  ~ProxyFixture() { network.Clear(); }
 
   void SetConfiguration(Configuration configuration) {
     auto members = std::make_shared<shelflink::cluster::Members>();
@@ -393,13 +408,13 @@
     endpoints.push_back(std::make_unique<Endpoint>(
         network, 0x0a800001 + number, "i-" + std::to_string(number), std::move(behaviour)));
     endpoints.back()->service = service;
-    Tell();
+    PublishEndpoints();
     return *endpoints.back();
   }
-  // The list as the endpoints are now.
-  void Tell() {
+  // Publishes a new endpoint list with the current state of `endpoints`.
+  void PublishEndpoints() {
     auto list = std::make_shared<shelflink::cluster::EndpointList>();
-    list->version = {1, ++listed_};
+    list->version = {1, ++list_sequence_};
     for (const auto& endpoint : endpoints) {
       if (endpoint->crashed) continue;
       shelflink::cluster::EndpointEntry entry;
@@ -414,34 +429,38 @@
     view.endpoints = list;
     calls.OnView(view);
   }
-  std::unique_ptr<Client> Dial() { return std::make_unique<Client>(outside, front.address()); }
-  std::unique_ptr<Client> Ask(const std::string& request) {
+  std::unique_ptr<Client> Dial() {
+    return std::make_unique<Client>(client_process, front.address());
+  }
+  // Opens a connection and sends the request on it.
+  std::unique_ptr<Client> SendRequest(const std::string& request) {
     auto client = Dial();
     client->Send(request);
     return client;
   }
   void Run(milliseconds span) { network.RunUntil(network.Now() + span); }
-  std::size_t Served() const {
-    std::size_t served = 0;
-    for (const auto& endpoint : endpoints) served += endpoint->requests.size();
-    return served;
+  // Requests received by all endpoints.
+  std::size_t RequestCount() const {
+    std::size_t count = 0;
+    for (const auto& endpoint : endpoints) count += endpoint->requests.size();
+    return count;
   }
 
   net::VirtualNet network;
   net::VirtualProcess process;
-  net::VirtualProcess outside;
-  std::vector<std::string> lines;
-  std::map<std::string, int> used;
+  net::VirtualProcess client_process;
+  std::vector<std::string> log_lines;
+  std::map<std::string, int> usage;  // Counted requests by tenant.
   kelpspring::Log log;
   kelpspring::SocketBudget budget;
   kelpspring::Drain drain;
   shelflink::cluster::View view;
   std::vector<std::unique_ptr<Endpoint>> endpoints;
   shelflink::proxy::EndpointCalls calls;
-  shelflink::proxy::Front front;
+  shelflink::proxy::HttpFrontend front;
 
  private:
-  std::uint64_t listed_ = 0;
+  std::uint64_t list_sequence_ = 0;
 };
 
 inline std::string Request(const std::string& path, const std::string& id = "9c41d07be2a35f68",
@@ -451,13 +470,13 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Whole answer `body` to each request.
-inline Endpoint::Behaviour Answers(const std::string& body, const std::string& more = "") {
-  return [body, more](Endpoint::Line& line, const Message& request) {
-    line.Write(Endpoint::Whole(request, body, 200, more));
+// A Behaviour that responds to each request with `body`; `more` is added to the headers.
+inline Endpoint::Behaviour RespondWith(const std::string& body, const std::string& more = "") {
+  return [body, more](Endpoint::Connection& connection, const Message& request) {
+    connection.Write(Endpoint::Response(request, body, 200, more));
   };
 }
 
-}  // namespace stand_in
+}  // namespace proxy_test
 
-#endif  // TESTS_TIER_PROXY_STAND_IN_H_
+#endif  // TESTS_TIER_PROXY_PROXY_FIXTURE_H_
--- a/tests/tier/proxy/stale_list_excuses_test.cpp
+++ b/tests/tier/proxy/stale_list_excuses_test.cpp
@@ -6,11 +6,11 @@
 
 #include "proxy/stale_list_scene.h"
 
+using proxy_test::milliseconds;
 using stale_list::kDrain;
 using stale_list::Proxy;
 using stale_list::Scene;
 using stale_list::TakeViolations;
-using stand_in::milliseconds;
 using std::chrono::seconds;
 
 namespace {
--- a/tests/tier/proxy/stale_list_scene.h
+++ b/tests/tier/proxy/stale_list_scene.h
@@ -11,19 +11,19 @@
 #include <vector>
 
 #include "cluster/rig.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 #include "tier/foundation/invariants.h"
 #include "tier/proxy/program.h"
 
 namespace stale_list {
 
+using proxy_test::Client;
+using proxy_test::Endpoint;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::Request;
 using shelflink::cluster::Rig;
 using shelflink::cluster::RigSettings;
-using stand_in::Client;
-using stand_in::Endpoint;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Request;
 using std::chrono::seconds;
 
 constexpr milliseconds kDrain{3000};
@@ -70,9 +70,9 @@
 struct Server {
   Server(Rig& rig, std::uint32_t index)
       : endpoint(rig.net, kFirstEndpointHost + index, "i-" + std::to_string(index),
-                 [this](Endpoint::Line& line, const Message& request) {
+                 [this](Endpoint::Connection& line, const Message& request) {
                    arrivals.push_back(endpoint.process.Now());
-                   line.Write(Endpoint::Whole(request, "the bytes"));
+                   line.Write(Endpoint::Response(request, "the bytes"));
                  }) {}
   std::size_t ArrivalsAfter(net::Time time) const {
     return static_cast<std::size_t>(std::count_if(
@@ -128,7 +128,7 @@
   double TakeServed() {
     rig.Run(seconds(2));
     std::size_t served = 0;
-    for (const auto& client : asked_) served += client->Answer().Status() == 200 ? 1 : 0;
+    for (const auto& client : asked_) served += client->NextResponse().Status() == 200 ? 1 : 0;
     const double share = asked_.empty() ? 0 : double(served) / double(asked_.size());
     asked_.clear();
     return share;
--- a/tests/tier/proxy/stale_list_test.cpp
+++ b/tests/tier/proxy/stale_list_test.cpp
@@ -14,6 +14,9 @@
 #include "tier/proxy/list_times.h"
 #include "tier/proxy/reading_plan.h"
 
+using proxy_test::Endpoint;
+using proxy_test::milliseconds;
+using proxy_test::Request;
 using shelflink::cluster::EndpointEntry;
 using shelflink::cluster::GroupCore;
 using shelflink::cluster::Rig;
@@ -21,9 +24,6 @@
 using stale_list::kFirstEndpointHost;
 using stale_list::Scene;
 using stale_list::TakeViolations;
-using stand_in::Endpoint;
-using stand_in::milliseconds;
-using stand_in::Request;
 using std::chrono::seconds;
 
 namespace {
@@ -438,12 +438,12 @@
 // A list older than a drain without an excuse is told at the send that goes by it.
 // A process that stood still a moment ago is excused, and its items wait.
 BOOST_AUTO_TEST_CASE(a_send_by_a_stale_list_is_a_violation_and_items_wait_for_a_renewal) {
-  stand_in::World world;
+  proxy_test::ProxyFixture world;
   auto state = shelflink::proxy::ListState::kStale;
   shelflink::proxy::EndpointCalls calls(world.process, world.log, world.budget,
                                         {"proxy", "zone", 1, 100, [&state] { return state; }});
   TakeViolations();
-  Endpoint& endpoint = world.Add(stand_in::Answers("x"));
+  Endpoint& endpoint = world.Add(proxy_test::RespondWith("x"));
   calls.OnView(world.view);
   struct User : shelflink::proxy::CallUser {
     void OnHead(int, const shelflink::proxy::HeaderList&, std::optional<std::uint64_t>) override {}
@@ -569,29 +569,29 @@
 
 // Lists come by more than one way: what shows an endpoint as ready may have been read earlier.
 BOOST_AUTO_TEST_CASE(what_was_seen_draining_stays_draining) {
-  stand_in::World world;
-  Endpoint& endpoint = world.Add(stand_in::Answers("x"));
+  proxy_test::ProxyFixture world;
+  Endpoint& endpoint = world.Add(proxy_test::RespondWith("x"));
   endpoint.draining = true;
-  world.Tell();
+  world.PublishEndpoints();
   endpoint.draining = false;
-  world.Tell();
-  auto client = world.Ask(Request("/get/a", "01"));
+  world.PublishEndpoints();
+  auto client = world.SendRequest(Request("/get/a", "01"));
   world.Run(milliseconds(500));
   BOOST_TEST(endpoint.requests.empty());
 }
 
 // Also where a list between had it no more.
 BOOST_AUTO_TEST_CASE(what_was_seen_draining_stays_draining_beyond_its_end) {
-  stand_in::World world;
-  Endpoint& endpoint = world.Add(stand_in::Answers("x"));
+  proxy_test::ProxyFixture world;
+  Endpoint& endpoint = world.Add(proxy_test::RespondWith("x"));
   endpoint.draining = true;
-  world.Tell();
+  world.PublishEndpoints();
   endpoint.crashed = true;  // Not listed; its process goes on.
-  world.Tell();
+  world.PublishEndpoints();
   endpoint.crashed = false;
   endpoint.draining = false;
-  world.Tell();
-  auto client = world.Ask(Request("/get/a", "01"));
+  world.PublishEndpoints();
+  auto client = world.SendRequest(Request("/get/a", "01"));
   world.Run(milliseconds(500));
   BOOST_TEST(endpoint.requests.empty());
 }
@@ -599,7 +599,7 @@
 namespace {
 
 // Tells the world's list with so many others in it, all of them draining.
-void TellWithOthers(stand_in::World& world, std::uint32_t others) {
+void TellWithOthers(proxy_test::ProxyFixture& world, std::uint32_t others) {
   auto list = std::make_shared<shelflink::cluster::EndpointList>(*world.view.endpoints);
   for (std::uint32_t index = 0; index < others; ++index) {
     EndpointEntry entry;
@@ -619,19 +619,19 @@
 BOOST_AUTO_TEST_CASE(
     what_was_seen_draining_and_is_listed_again_is_not_forgotten_with_the_departed) {
   constexpr std::uint32_t kMoreThanAreRemembered = 4097;
-  stand_in::World world;
-  Endpoint& endpoint = world.Add(stand_in::Answers("x"));
+  proxy_test::ProxyFixture world;
+  Endpoint& endpoint = world.Add(proxy_test::RespondWith("x"));
   endpoint.draining = true;
-  world.Tell();
+  world.PublishEndpoints();
   endpoint.crashed = true;  // Not listed; its process goes on.
-  world.Tell();
+  world.PublishEndpoints();
   endpoint.crashed = false;
   endpoint.draining = false;
-  world.Tell();
+  world.PublishEndpoints();
   TellWithOthers(world, kMoreThanAreRemembered);
-  world.Tell();  // The others have left.
-  world.Tell();
-  auto client = world.Ask(Request("/get/a", "01"));
+  world.PublishEndpoints();  // The others have left.
+  world.PublishEndpoints();
+  auto client = world.SendRequest(Request("/get/a", "01"));
   world.Run(milliseconds(500));
   BOOST_TEST(endpoint.requests.empty());
 }
@@ -639,16 +639,16 @@
 // What checks itself: a connection comes up after the drain, and would carry the request.
 BOOST_AUTO_TEST_CASE(a_send_to_what_was_seen_draining_is_a_violation) {
   TakeViolations();
-  stand_in::World world;
-  Endpoint& endpoint = world.Add(stand_in::Answers("x"));
+  proxy_test::ProxyFixture world;
+  Endpoint& endpoint = world.Add(proxy_test::RespondWith("x"));
   net::Weather slow;
   slow.latency_low = milliseconds(50);
   slow.latency_high = milliseconds(50);
   world.network.SetWeather(endpoint.process.host(), world.process.host(), slow);
-  auto client = world.Ask(Request("/get/a", "01"));
+  auto client = world.SendRequest(Request("/get/a", "01"));
   while (world.calls.dials() == 0) world.Run(milliseconds(1));
   endpoint.draining = true;
-  world.Tell();
+  world.PublishEndpoints();
   world.Run(milliseconds(500));
   BOOST_TEST(TakeViolations().empty());
 }
--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -2,17 +2,17 @@
 #define BOOST_TEST_MODULE proxy_stream
 #include <boost/test/unit_test.hpp>
 
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 #include "tier/proxy/event_stream.h"
 
+using proxy_test::Client;
+using proxy_test::Endpoint;
+using proxy_test::Message;
+using proxy_test::milliseconds;
+using proxy_test::ProxyFixture;
+using proxy_test::Request;
 using shelflink::proxy::EventStream;
-using stand_in::Client;
-using stand_in::Endpoint;
-using stand_in::Message;
-using stand_in::milliseconds;
-using stand_in::Request;
-using stand_in::World;
-using Line = Endpoint::Line;
+using Connection = Endpoint::Connection;
 
 namespace {
 
@@ -93,15 +93,15 @@
 // ---- Through the proxy ----
 
 BOOST_AUTO_TEST_CASE(events_pass_as_they_arrive) {
-  World world;
-  Endpoint& endpoint = world.Add([&](Line& line, const Message& request) {
-    world.endpoints[0]->Stream(line, request, 5, milliseconds(100));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
+    fixture.endpoints[0]->Stream(connection, request, 5, milliseconds(100));
   });
-  auto client = world.Ask(Request("/stream/a"));
-  world.Run(milliseconds(250));
-  BOOST_TEST(client->pieces.size() == 3U);
-  world.Run(milliseconds(500));
-  const Message answer = client->Answer();
+  auto client = fixture.SendRequest(Request("/stream/a"));
+  fixture.Run(milliseconds(250));
+  BOOST_TEST(client->received_parts.size() == 3U);
+  fixture.Run(milliseconds(500));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.body == Events(1, 5));
   BOOST_TEST(answer.Value("Content-Type") == "text/event-stream");
@@ -110,64 +110,66 @@
 }
 
 BOOST_AUTO_TEST_CASE(use_is_counted_with_the_first_event) {
-  auto configuration = stand_in::Sample();
+  auto configuration = proxy_test::SampleConfiguration();
   configuration.routes[2].is_public = false;
   configuration.Index();
-  World world(1, configuration);
-  world.Add([&](Line& line, const Message& request) {
-    line.Write(Endpoint::StreamHead(request));
-    world.endpoints[0]->Later(milliseconds(300),
-                              [&line] { line.Write(Endpoint::Chunk(Events(1, 1)) + "0\r\n\r\n"); });
+  ProxyFixture fixture(1, configuration);
+  fixture.Add([&](Connection& connection, const Message& request) {
+    connection.Write(Endpoint::StreamHead(request));
+    fixture.endpoints[0]->RunAfter(milliseconds(300), [&connection] {
+      connection.Write(Endpoint::Chunk(Events(1, 1)) + "0\r\n\r\n");
+    });
   });
-  auto client = world.Ask(Request("/stream/a", "01", "Shelflink-Credential: key-1\r\n"));
-  world.Run(milliseconds(200));
-  BOOST_TEST(world.used.count("ten") == 0U);
-  world.Run(milliseconds(200));
-  BOOST_TEST(world.used["ten"] == 1);
+  auto client = fixture.SendRequest(Request("/stream/a", "01", "Shelflink-Credential: key-1\r\n"));
+  fixture.Run(milliseconds(200));
+  BOOST_TEST(fixture.usage.count("ten") == 0U);
+  fixture.Run(milliseconds(200));
+  BOOST_TEST(fixture.usage["ten"] == 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_cut_stream_that_cannot_be_resumed_does_not_look_whole) {
   for (const bool reset : {true, false}) {
-    World world;
-    const auto breaks = [&, reset](Line& line, const Message& request) {
-      world.endpoints[0]->Stream(line, request, 3, milliseconds(20), [reset](Line& cut) {
-        cut.Write(Endpoint::Chunk("id: 4\ndata: par"));
-        reset ? cut.Reset() : cut.Close();
-      });
+    ProxyFixture fixture;
+    const auto breaks = [&, reset](Connection& connection, const Message& request) {
+      fixture.endpoints[0]->Stream(connection, request, 3, milliseconds(20),
+                                   [reset](Connection& cut) {
+                                     cut.Write(Endpoint::Chunk("id: 4\ndata: par"));
+                                     reset ? cut.Reset() : cut.Close();
+                                   });
     };
-    world.Add(breaks);
-    auto client = world.Ask(Request("/stream/a"));
-    world.Run(milliseconds(500));
-    BOOST_TEST(client->over);
-    const Message answer = client->Answer();
+    fixture.Add(breaks);
+    auto client = fixture.SendRequest(Request("/stream/a"));
+    fixture.Run(milliseconds(500));
+    BOOST_TEST(client->closed);
+    const Message answer = client->NextResponse();
     BOOST_TEST(!answer.whole);
     BOOST_TEST(answer.body == Events(1, 3));  // The part of an event is dropped.
-    BOOST_TEST(world.Served() == 1U);
+    BOOST_TEST(fixture.RequestCount() == 1U);
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_cut_stream_goes_on_elsewhere_in_the_same_answer) {
-  World world;
+  ProxyFixture fixture;
   int runs = 0;
-  const auto behaviour = [&](Line& line, const Message& request) {
-    Endpoint& own = *world.endpoints[request.Value("Shelflink-Expect-Instance") == "i-0" ? 0 : 1];
-    if (runs++ > 0) return own.Stream(line, request, 6);
-    own.Stream(line, request, 3, milliseconds(20), [](Line& cut) {
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    Endpoint& own = *fixture.endpoints[request.Value("Shelflink-Expect-Instance") == "i-0" ? 0 : 1];
+    if (runs++ > 0) return own.Stream(connection, request, 6);
+    own.Stream(connection, request, 3, milliseconds(20), [](Connection& cut) {
       cut.Write(Endpoint::Chunk("id: 4\ndata: par"));
       cut.Reset();
     });
   };
-  world.Add(behaviour);
-  world.Add(behaviour);
-  auto client = world.Ask(Request("/resume/a"));
-  world.Run(milliseconds(1000));
-  const Message answer = client->Answer();
+  fixture.Add(behaviour);
+  fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/resume/a"));
+  fixture.Run(milliseconds(1000));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.body == Events(1, 6));
   BOOST_TEST(answer.Count("Shelflink-Response-Stamp") == 1U);
-  BOOST_TEST(world.Served() == 2U);
+  BOOST_TEST(fixture.RequestCount() == 2U);
   std::string continued;
-  for (const auto& endpoint : world.endpoints) {
+  for (const auto& endpoint : fixture.endpoints) {
     for (const Message& request : endpoint->requests) {
       continued += request.Value("Last-Event-Id");
       BOOST_TEST(request.body == "prompt");
@@ -177,167 +179,168 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_gap_at_the_join_breaks_the_answer) {
-  World world;
+  ProxyFixture fixture;
   int runs = 0;
-  const auto behaviour = [&](Line& line, const Message& request) {
-    line.Write(Endpoint::StreamHead(request));
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    connection.Write(Endpoint::StreamHead(request));
     if (runs++ == 0) {
-      line.Write(Endpoint::Chunk(Events(1, 3)));
-      world.endpoints[0]->Later(milliseconds(20), [&line] { line.Reset(); });
+      connection.Write(Endpoint::Chunk(Events(1, 3)));
+      fixture.endpoints[0]->RunAfter(milliseconds(20), [&connection] { connection.Reset(); });
     } else {
-      line.Write(Endpoint::Chunk(Events(5, 6)) + "0\r\n\r\n");
+      connection.Write(Endpoint::Chunk(Events(5, 6)) + "0\r\n\r\n");
     }
   };
-  world.Add(behaviour);
-  world.Add(behaviour);
-  auto client = world.Ask(Request("/resume/a"));
-  world.Run(milliseconds(500));
-  BOOST_TEST(client->over);
-  const Message answer = client->Answer();
+  fixture.Add(behaviour);
+  fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/resume/a"));
+  fixture.Run(milliseconds(500));
+  BOOST_TEST(client->closed);
+  const Message answer = client->NextResponse();
   BOOST_TEST(!answer.whole);
   BOOST_TEST(answer.body == Events(1, 3));
 }
 
 BOOST_AUTO_TEST_CASE(the_clients_own_last_event_id_is_passed_on) {
-  World world;
-  Endpoint& endpoint = world.Add(
-      [&](Line& line, const Message& request) { world.endpoints[0]->Stream(line, request, 6); });
-  auto client = world.Ask(Request("/resume/a", "01", "Last-Event-Id: 4\r\n"));
-  world.Run(milliseconds(300));
-  BOOST_TEST(client->Answer().body == Events(5, 6));
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
+    fixture.endpoints[0]->Stream(connection, request, 6);
+  });
+  auto client = fixture.SendRequest(Request("/resume/a", "01", "Last-Event-Id: 4\r\n"));
+  fixture.Run(milliseconds(300));
+  BOOST_TEST(client->NextResponse().body == Events(5, 6));
   BOOST_TEST(endpoint.requests.front().Value("Last-Event-Id") == "4");
 }
 
 BOOST_AUTO_TEST_CASE(a_stream_whose_end_alone_was_lost_is_completed) {
-  World world;
+  ProxyFixture fixture;
   int runs = 0;
-  const auto behaviour = [&](Line& line, const Message& request) {
-    line.Write(Endpoint::StreamHead(request));
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    connection.Write(Endpoint::StreamHead(request));
     if (runs++ == 0) {
-      line.Write(Endpoint::Chunk(Events(1, 3)));
-      world.endpoints[0]->Later(milliseconds(20), [&line] { line.Reset(); });
+      connection.Write(Endpoint::Chunk(Events(1, 3)));
+      fixture.endpoints[0]->RunAfter(milliseconds(20), [&connection] { connection.Reset(); });
     } else {
-      line.Write("0\r\n\r\n");
+      connection.Write("0\r\n\r\n");
     }
   };
-  world.Add(behaviour);
-  world.Add(behaviour);
-  auto client = world.Ask(Request("/resume/a"));
-  world.Run(milliseconds(500));
-  const Message answer = client->Answer();
+  fixture.Add(behaviour);
+  fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/resume/a"));
+  fixture.Run(milliseconds(500));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.body == Events(1, 3));
 }
 
 BOOST_AUTO_TEST_CASE(resumption_keeps_to_the_limit_of_attempts) {
-  World world;
-  const auto behaviour = [&](Line& line, const Message& request) {
-    world.endpoints[0]->Stream(line, request, 100, milliseconds(5), nullptr);
-    world.endpoints[0]->Later(milliseconds(20), [&line] { line.Reset(); });
+  ProxyFixture fixture;
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    fixture.endpoints[0]->Stream(connection, request, 100, milliseconds(5), nullptr);
+    fixture.endpoints[0]->RunAfter(milliseconds(20), [&connection] { connection.Reset(); });
   };
-  for (int number = 0; number < 4; ++number) world.Add(behaviour);
-  auto client = world.Ask(Request("/resume/a"));
-  world.Run(milliseconds(1000));
-  BOOST_TEST(client->over);
-  BOOST_TEST(!client->Answer().whole);
-  BOOST_TEST(world.Served() == 2U);
+  for (int number = 0; number < 4; ++number) fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/resume/a"));
+  fixture.Run(milliseconds(1000));
+  BOOST_TEST(client->closed);
+  BOOST_TEST(!client->NextResponse().whole);
+  BOOST_TEST(fixture.RequestCount() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_silent_stream_is_continued_before_its_client_gives_up) {
-  World world;
+  ProxyFixture fixture;
   int runs = 0;
-  const auto behaviour = [&](Line& line, const Message& request) {
-    Endpoint& own = *world.endpoints[request.Value("Shelflink-Expect-Instance") == "i-0" ? 0 : 1];
-    if (runs++ > 0) return own.Stream(line, request, 6);
-    own.Stream(line, request, 3, milliseconds(20), [](Line&) {});
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    Endpoint& own = *fixture.endpoints[request.Value("Shelflink-Expect-Instance") == "i-0" ? 0 : 1];
+    if (runs++ > 0) return own.Stream(connection, request, 6);
+    own.Stream(connection, request, 3, milliseconds(20), [](Connection&) {});
   };
-  world.Add(behaviour);
-  world.Add(behaviour);
-  auto client = world.Ask(Request("/resume/a"));
-  world.Run(milliseconds(1900));
-  const Message answer = client->Answer();
+  fixture.Add(behaviour);
+  fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/resume/a"));
+  fixture.Run(milliseconds(1900));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.body == Events(1, 6));
 }
 
 BOOST_AUTO_TEST_CASE(a_slow_stream_stays_where_its_endpoint_answers_others) {
-  World world;
-  const auto behaviour = [&](Line& line, const Message& request) {
-    Endpoint& own = *world.endpoints[0];
-    if (request.Value("Shelflink-Request-Id") != "slow") return own.Stream(line, request, 3);
-    line.Write(Endpoint::StreamHead(request));
-    own.Later(milliseconds(1800),
-              [&line] { line.Write(Endpoint::Chunk(Events(1, 1)) + "0\r\n\r\n"); });
+  ProxyFixture fixture;
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    Endpoint& own = *fixture.endpoints[0];
+    if (request.Value("Shelflink-Request-Id") != "slow") return own.Stream(connection, request, 3);
+    connection.Write(Endpoint::StreamHead(request));
+    own.RunAfter(milliseconds(1800),
+                 [&connection] { connection.Write(Endpoint::Chunk(Events(1, 1)) + "0\r\n\r\n"); });
   };
-  world.Add(behaviour);
-  auto slow = world.Ask(Request("/resume/a", "slow"));
+  fixture.Add(behaviour);
+  auto slow = fixture.SendRequest(Request("/resume/a", "slow"));
   for (int number = 0; number < 6; ++number) {
-    auto other = world.Ask(Request("/resume/a", std::to_string(number)));
-    world.Run(milliseconds(300));
-    BOOST_TEST(other->Answer().whole);
+    auto other = fixture.SendRequest(Request("/resume/a", std::to_string(number)));
+    fixture.Run(milliseconds(300));
+    BOOST_TEST(other->NextResponse().whole);
   }
-  world.Run(milliseconds(300));
-  BOOST_TEST(slow->Answer().body == Events(1, 1));
-  BOOST_TEST(world.Served() == 7U);
+  fixture.Run(milliseconds(300));
+  BOOST_TEST(slow->NextResponse().body == Events(1, 1));
+  BOOST_TEST(fixture.RequestCount() == 7U);
 }
 
 // Its client leaves after that silence; until then, and if it stays, nothing is cut (LOST).
 BOOST_AUTO_TEST_CASE(a_silent_stream_ends_when_its_client_gives_up_and_not_before) {
-  World world;
-  Endpoint& endpoint = world.Add([&](Line& line, const Message& request) {
-    world.endpoints[0]->Stream(line, request, 3, milliseconds(20), [](Line&) {});
+  ProxyFixture fixture;
+  Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
+    fixture.endpoints[0]->Stream(connection, request, 3, milliseconds(20), [](Connection&) {});
   });
-  auto client = world.Ask(Request("/stream/a"));
-  world.Run(milliseconds(2400));
-  BOOST_TEST(!client->over);
-  BOOST_TEST(endpoint.left == 0U);
-  client->Leave();
-  world.Run(milliseconds(50));
-  BOOST_TEST(endpoint.left == 1U);
-  BOOST_TEST(!client->Answer().whole);
+  auto client = fixture.SendRequest(Request("/stream/a"));
+  fixture.Run(milliseconds(2400));
+  BOOST_TEST(!client->closed);
+  BOOST_TEST(endpoint.disconnects == 0U);
+  client->Disconnect();
+  fixture.Run(milliseconds(50));
+  BOOST_TEST(endpoint.disconnects == 1U);
+  BOOST_TEST(!client->NextResponse().whole);
 }
 
 BOOST_AUTO_TEST_CASE(a_stream_ends_with_the_routes_time) {
-  World world;
-  world.Add([&](Line& line, const Message& request) {
-    world.endpoints[0]->Stream(line, request, 1000, milliseconds(50));
+  ProxyFixture fixture;
+  fixture.Add([&](Connection& connection, const Message& request) {
+    fixture.endpoints[0]->Stream(connection, request, 1000, milliseconds(50));
   });
-  auto client = world.Ask(Request("/stream/a"));
-  world.Run(milliseconds(2950));
-  BOOST_TEST(!client->over);
-  world.Run(milliseconds(300));
-  BOOST_TEST(client->over);
-  BOOST_TEST(!client->Answer().whole);
+  auto client = fixture.SendRequest(Request("/stream/a"));
+  fixture.Run(milliseconds(2950));
+  BOOST_TEST(!client->closed);
+  fixture.Run(milliseconds(300));
+  BOOST_TEST(client->closed);
+  BOOST_TEST(!client->NextResponse().whole);
 }
 
 BOOST_AUTO_TEST_CASE(refused_before_its_first_event_goes_on_at_another) {
-  World world;
+  ProxyFixture fixture;
   int runs = 0;
-  const auto behaviour = [&](Line& line, const Message& request) {
-    if (runs++ == 0) return line.Write(Endpoint::NotRun(request));
-    world.endpoints[0]->Stream(line, request, 3);
+  const auto behaviour = [&](Connection& connection, const Message& request) {
+    if (runs++ == 0) return connection.Write(Endpoint::NotRunResponse(request));
+    fixture.endpoints[0]->Stream(connection, request, 3);
   };
-  world.Add(behaviour);
-  world.Add(behaviour);
-  auto client = world.Ask(Request("/stream/a"));
-  world.Run(milliseconds(300));
-  BOOST_TEST(client->Answer().body == Events(1, 3));
+  fixture.Add(behaviour);
+  fixture.Add(behaviour);
+  auto client = fixture.SendRequest(Request("/stream/a"));
+  fixture.Run(milliseconds(300));
+  BOOST_TEST(client->NextResponse().body == Events(1, 3));
 }
 
 BOOST_AUTO_TEST_CASE(a_client_that_does_not_read_holds_its_endpoint_up_only) {
-  World world;
+  ProxyFixture fixture;
   const std::string large(60'000, 'd');
-  world.Add([&](Line& line, const Message& request) {
-    line.Write(Endpoint::StreamHead(request));
+  fixture.Add([&](Connection& connection, const Message& request) {
+    connection.Write(Endpoint::StreamHead(request));
     std::string text;
     for (int number = 1; number <= 8; ++number) {
       text += Endpoint::Chunk("id: " + std::to_string(number) + "\ndata: " + large + "\n\n");
     }
-    line.Write(text + "0\r\n\r\n");
+    connection.Write(text + "0\r\n\r\n");
   });
-  auto client = world.Ask(Request("/stream/a"));
-  world.Run(milliseconds(1000));
-  const Message answer = client->Answer();
+  auto client = fixture.SendRequest(Request("/stream/a"));
+  fixture.Run(milliseconds(1000));
+  const Message answer = client->NextResponse();
   BOOST_TEST(answer.whole);
   BOOST_TEST(answer.body.size() > 8 * large.size());
 }
