--- a/tests/tier/tier_seeds/endpoint_fleet.cpp
+++ b/tests/tier/tier_seeds/endpoint_fleet.cpp
@@ -7,8 +7,8 @@
 
 namespace shelflink::tier_seeds {
 
-using stand_in::Endpoint;
-using stand_in::Message;
+using proxy_test::Endpoint;
+using proxy_test::Message;
 
 namespace {
 
@@ -28,14 +28,14 @@
 constexpr Milliseconds kBootSpan{800};
 
 std::string TargetOf(const Message& request) {
-  const std::size_t from = request.first.find(' ');
-  const std::size_t to = request.first.rfind(' ');
+  const std::size_t from = request.start_line.find(' ');
+  const std::size_t to = request.start_line.rfind(' ');
   if (from == std::string::npos || to <= from) return {};
-  return request.first.substr(from + 1, to - from - 1);
+  return request.start_line.substr(from + 1, to - from - 1);
 }
 
 std::string MethodOf(const Message& request) {
-  return request.first.substr(0, request.first.find(' '));
+  return request.start_line.substr(0, request.start_line.find(' '));
 }
 
 bool IsHealthCheck(const Message& request) { return TargetOf(request) == "/health"; }
@@ -298,7 +298,7 @@
   const bool full = place.busy.size() > kSlots;
   if (full || random_.Chance(0.02 + mischief_ / 4)) {
     journal_.Note([&] { return endpoint.id + " turns it away"; });
-    line.Write(Endpoint::NotRun(request, random_.Chance(0.7) ? 503 : 429));
+    line.Write(Endpoint::NotRunResponse(request, random_.Chance(0.7) ? 503 : 429));
     return false;
   }
   return true;
@@ -338,8 +338,8 @@
   const std::string id = request.Value("Shelflink-Request-Id");
   const AskedRequest* asked = ledger_.Asked(id);
   if (asked == nullptr) {
-    journal_.Report("UNASKED", "request " + id + " that nobody sent: " + request.first);
-    return line.Write(Endpoint::NotRun(request));
+    journal_.Report("UNASKED", "request " + id + " that nobody sent: " + request.start_line);
+    return line.Write(Endpoint::NotRunResponse(request));
   }
   CheckDrain(at, endpoint, line, id, *asked);
   if (!Accepts(endpoint, at, line, request)) return;
@@ -373,21 +373,21 @@
   serving->run = &ledger_.Run(id, std::move(run));
   at.busy.insert(&line);
   Endpoint* self = &endpoint;
-  endpoint.Later(std::chrono::duration_cast<std::chrono::milliseconds>(ServiceTime()),
-                 [this, place, self, &line, serving] {
-                   if (!line.open()) return Done(place, *self, line);
-                   journal_.Note([&] { return self->id + " answers " + serving->id; });
-                   if (random_.Chance(mischief_)) {
-                     AnswerWrongly(place, *self, line, serving);
-                   } else if (serving->asked->events && serving->run->status == 200) {
-                     line.Write(Head(*serving,
-                                     "Content-Type: text/event-stream\r\n"
-                                     "Transfer-Encoding: chunked\r\n"));
-                     Events(place, *self, line, serving);
-                   } else {
-                     Answer(place, *self, line, serving);
-                   }
-                 });
+  endpoint.RunAfter(std::chrono::duration_cast<std::chrono::milliseconds>(ServiceTime()),
+                    [this, place, self, &line, serving] {
+                      if (!line.open()) return Done(place, *self, line);
+                      journal_.Note([&] { return self->id + " answers " + serving->id; });
+                      if (random_.Chance(mischief_)) {
+                        AnswerWrongly(place, *self, line, serving);
+                      } else if (serving->asked->events && serving->run->status == 200) {
+                        line.Write(Head(*serving,
+                                        "Content-Type: text/event-stream\r\n"
+                                        "Transfer-Encoding: chunked\r\n"));
+                        Events(place, *self, line, serving);
+                      } else {
+                        Answer(place, *self, line, serving);
+                      }
+                    });
 }
 
 void EndpointFleet::Done(std::size_t place, const Endpoint& endpoint, Line& line) {
@@ -420,7 +420,7 @@
       if (body.size() > kShortBody) return line.Write(Whole(*serving));
       places_[place].cut_short.insert(&line);  // More would be its own.
       line.Write(Head(*serving, "Connection: close\r\n") + body);
-      return endpoint.Later(std::chrono::milliseconds(1), [&line] {
+      return endpoint.RunAfter(std::chrono::milliseconds(1), [&line] {
         if (line.open()) line.Close();
       });
     case 2:
@@ -455,16 +455,16 @@
       const bool resets = random_.Chance(0.5);
       if (!events) line.Write(whole.substr(0, random_.Below(whole.size())));
       places_[place].cut_short.insert(&line);
-      return endpoint.Later(std::chrono::milliseconds(1 + random_.Below(30)),
-                            [this, place, &endpoint, &line, resets] {
-                              Done(place, endpoint, line);
-                              if (!line.open()) return;
-                              if (resets) {
-                                line.Reset();
-                              } else {
-                                line.Close();
-                              }
-                            });
+      return endpoint.RunAfter(std::chrono::milliseconds(1 + random_.Below(30)),
+                               [this, place, &endpoint, &line, resets] {
+                                 Done(place, endpoint, line);
+                                 if (!line.open()) return;
+                                 if (resets) {
+                                   line.Reset();
+                                 } else {
+                                   line.Close();
+                                 }
+                               });
     }
     case 4:  // Bytes that are no answer.
       Done(place, endpoint, line);
@@ -477,13 +477,13 @@
       const bool at_once = random_.Chance(0.5);
       const std::string surplus = whole;
       if (at_once) return line.Write(surplus);
-      return endpoint.Later(std::chrono::milliseconds(random_.Below(200)),
-                            [this, place, &line, surplus] {
-                              // Not inside another answer: there nobody could tell it from that
-                              // one's bytes.
-                              const bool inside = places_[place].cut_short.contains(&line);
-                              if (line.open() && !inside) line.Write(surplus);
-                            });
+      return endpoint.RunAfter(std::chrono::milliseconds(random_.Below(200)),
+                               [this, place, &line, surplus] {
+                                 // Not inside another answer: there nobody could tell it from that
+                                 // one's bytes.
+                                 const bool inside = places_[place].cut_short.contains(&line);
+                                 if (line.open() && !inside) line.Write(surplus);
+                               });
     }
     default:  // Silence; the connection stays.
       return;
@@ -505,7 +505,7 @@
     serving->run->broken = true;
     journal_.Count("streams broken off");
     line.Write(Endpoint::Chunk(text.substr(0, 1 + random_.Below(text.size()))));
-    return endpoint.Later(std::chrono::milliseconds(1), [this, place, &endpoint, &line] {
+    return endpoint.RunAfter(std::chrono::milliseconds(1), [this, place, &endpoint, &line] {
       Done(place, endpoint, line);
       if (line.open()) line.Reset();
     });
@@ -513,8 +513,8 @@
   ++serving->next_event;
   line.Write(Endpoint::Chunk(text));
   Endpoint* self = &endpoint;
-  endpoint.Later(std::chrono::milliseconds(2 + random_.Below(40)),
-                 [this, place, self, &line, serving] { Events(place, *self, line, serving); });
+  endpoint.RunAfter(std::chrono::milliseconds(2 + random_.Below(40)),
+                    [this, place, self, &line, serving] { Events(place, *self, line, serving); });
 }
 
 }  // namespace shelflink::tier_seeds
--- a/tests/tier/tier_seeds/endpoint_fleet.h
+++ b/tests/tier/tier_seeds/endpoint_fleet.h
@@ -14,7 +14,7 @@
 
 #include "emulator/random.h"
 #include "net/virtual.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 #include "tier_seeds/contact_record.h"
 #include "tier_seeds/deployment.h"
 #include "tier_seeds/journal.h"
@@ -101,7 +101,7 @@
 
  private:
   struct Serving {
-    stand_in::Message request;
+    proxy_test::Message request;
     std::string id;
     const AskedRequest* asked = nullptr;
     EndpointRun* run = nullptr;
@@ -112,34 +112,35 @@
     std::string service;
     std::string zone;
     std::uint32_t host = 0;
-    stand_in::Endpoint* now = nullptr;
+    proxy_test::Endpoint* now = nullptr;
     bool draining = false;
     bool given_up = false;
     std::optional<net::Time> harmed_at;  // The links to it were broken.
-    std::set<stand_in::Endpoint::Line*> busy;
-    std::set<stand_in::Endpoint::Line*> cut_short;  // Half an answer went out, no more follows.
+    std::set<proxy_test::Endpoint::Connection*> busy;
+    std::set<proxy_test::Endpoint::Connection*>
+        cut_short;  // Half an answer went out, no more follows.
   };
-  using Line = stand_in::Endpoint::Line;
+  using Line = proxy_test::Endpoint::Connection;
 
   void StartAt(std::size_t place, std::uint32_t host);
   void ReleaseLater();
   // Judges the rule DRAIN: a request that is no health check reaches the endpoint on this line.
-  void CheckDrain(const Place& place, const stand_in::Endpoint& endpoint, const Line& line,
+  void CheckDrain(const Place& place, const proxy_test::Endpoint& endpoint, const Line& line,
                   const std::string& id, const AskedRequest& asked);
   void TellPlatform();
-  void Serve(std::size_t place, stand_in::Endpoint& endpoint, Line& line,
-             const stand_in::Message& request);
-  bool Accepts(const stand_in::Endpoint& endpoint, const Place& place, Line& line,
-               const stand_in::Message& request);
+  void Serve(std::size_t place, proxy_test::Endpoint& endpoint, Line& line,
+             const proxy_test::Message& request);
+  bool Accepts(const proxy_test::Endpoint& endpoint, const Place& place, Line& line,
+               const proxy_test::Message& request);
   void CheckUnchanged(const std::string& id, const AskedRequest& asked,
-                      const stand_in::Message& request);
-  void Answer(std::size_t place, stand_in::Endpoint& endpoint, Line& line,
+                      const proxy_test::Message& request);
+  void Answer(std::size_t place, proxy_test::Endpoint& endpoint, Line& line,
               const std::shared_ptr<Serving>& serving);
-  void AnswerWrongly(std::size_t place, stand_in::Endpoint& endpoint, Line& line,
+  void AnswerWrongly(std::size_t place, proxy_test::Endpoint& endpoint, Line& line,
                      const std::shared_ptr<Serving>& serving);
-  void Events(std::size_t place, stand_in::Endpoint& endpoint, Line& line,
+  void Events(std::size_t place, proxy_test::Endpoint& endpoint, Line& line,
               const std::shared_ptr<Serving>& serving);
-  void Done(std::size_t place, const stand_in::Endpoint& endpoint, Line& line);
+  void Done(std::size_t place, const proxy_test::Endpoint& endpoint, Line& line);
   std::string Head(const Serving& serving, const std::string& more) const;
   std::string Whole(const Serving& serving) const;
   net::Span ServiceTime();
@@ -155,7 +156,7 @@
   double mischief_ = 0;
   std::vector<Place> places_;
   std::map<std::string, int> late_;  // Requests that broke DRAIN, by endpoint.
-  std::vector<std::unique_ptr<stand_in::Endpoint>> all_;
+  std::vector<std::unique_ptr<proxy_test::Endpoint>> all_;
   std::uint32_t next_host_ = kFirstEndpoint;
   std::uint64_t incarnations_ = 0;
   std::uint64_t stamps_ = 0;
--- a/tests/tier/tier_seeds/http_caller.cpp
+++ b/tests/tier/tier_seeds/http_caller.cpp
@@ -48,10 +48,10 @@
   }
   came_.append(bytes);
   std::string rest = came_;
-  stand_in::Message answer = stand_in::TakeMessage(rest, true, false);
+  proxy_test::Message answer = proxy_test::TakeMessage(rest, true, false);
   while (answer.whole && answer.Status() / 100 == 1) {
     came_ = rest;
-    answer = stand_in::TakeMessage(rest, true, false);
+    answer = proxy_test::TakeMessage(rest, true, false);
   }
   if (answer.whole) Finish(false);
   if (!over_) stream_->Receive();
@@ -67,13 +67,13 @@
   timer_->Cancel();
   HttpOutcome outcome;
   const bool ended = over_ && fault_ == net::Fault::kEnd;
-  outcome.answer = stand_in::TakeMessage(came_, true, ended);
+  outcome.answer = proxy_test::TakeMessage(came_, true, ended);
   outcome.whole = outcome.answer.whole;
   outcome.connected = connected_;
   outcome.timed_out = timed_out;
   outcome.fault = fault_;
   if (outcome.whole) {
-    closing_ = stand_in::Lower(outcome.answer.Value("Connection")) == "close";
+    closing_ = proxy_test::Lower(outcome.answer.Value("Connection")) == "close";
     unasked_ = std::exchange(came_, {});
   } else if (!over_) {
     over_ = true;
--- a/tests/tier/tier_seeds/http_caller.h
+++ b/tests/tier/tier_seeds/http_caller.h
@@ -10,18 +10,18 @@
 #include <string>
 
 #include "net/virtual.h"
-#include "proxy/stand_in.h"
+#include "proxy/proxy_fixture.h"
 
 namespace shelflink::tier_seeds {
 
 struct HttpOutcome {
-  stand_in::Message answer;  // As far as it came.
+  proxy_test::Message answer;  // As far as it came.
   bool whole = false;
   bool connected = false;  // The connection came up.
   bool timed_out = false;
   net::Fault fault = net::Fault::kNone;  // How the connection ended, where it did.
 
-  int status() const { return answer.first.empty() ? 0 : answer.Status(); }
+  int status() const { return answer.start_line.empty() ? 0 : answer.Status(); }
 };
 
 // What a request to a sidecar looks like.
--- a/tests/tier/tier_seeds/live_clients.cpp
+++ b/tests/tier/tier_seeds/live_clients.cpp
@@ -231,7 +231,7 @@
                                  const HttpOutcome& outcome) {
   const int status = outcome.status();
   const std::string what = call.id + " " + call.target + " at " + proxies_[call.proxy]->node() +
-                           " is answered " + outcome.answer.first;
+                           " is answered " + outcome.answer.start_line;
   if (status / 100 == 2) journal_.Report("MIXED", what + " without a stamp");
   if (IsPromise(status) && asked.once) ledger_.Promise(call.id, std::to_string(status));
   if (!IsPromise(status) && (status / 100 == 3 || status / 100 == 4)) {
