--- a/src/tier/batch/front.cpp
+++ b/src/tier/batch/front.cpp
@@ -107,9 +107,9 @@
   StoreCaller::Question question;
   question.kind = kSubmit;
   question.job = JobOf(caller, submission.job);
-  question.until = caller.came + timeouts_.submit;
+  question.until = caller.received_at + timeouts_.submit;
   question.encode = [this, message = std::move(message),
-                     came = caller.came](const JobRef& job) mutable {
+                     came = caller.received_at](const JobRef& job) mutable {
     message.job = job;
     message.age = std::chrono::duration_cast<milliseconds>(loop_.Now() - came);
     return Encode(message);
@@ -127,7 +127,7 @@
     return;
   }
   const net::Time hold_until =
-      caller.came + std::clamp(read.wait, milliseconds(0), timeouts_.longest_wait);
+      caller.received_at + std::clamp(read.wait, milliseconds(0), timeouts_.longest_wait);
   StoreCaller::Question question;
   question.kind = kRead;
   question.job = JobOf(caller, read.job);
@@ -155,7 +155,7 @@
   StoreCaller::Question question;
   question.kind = kBody;
   question.job = JobOf(caller, job);
-  question.until = caller.came + timeouts_.body;
+  question.until = caller.received_at + timeouts_.body;
   question.encode = [item](const JobRef& ref) { return Encode(ItemRef{ref, item}); };
   question.done = std::move(reply);
   stores_.Ask(std::move(question));
@@ -169,7 +169,7 @@
   StoreCaller::Question question;
   question.kind = kEnd;
   question.job = JobOf(caller, job);
-  question.until = caller.came + timeouts_.end;
+  question.until = caller.received_at + timeouts_.end;
   question.encode = [](const JobRef& ref) { return Encode(ref); };
   question.done = [reply = std::move(reply)](const Result<std::string>& answer) {
     if (answer) {
--- a/src/tier/batch/item_run.cpp
+++ b/src/tier/batch/item_run.cpp
@@ -101,7 +101,7 @@
   request.configuration = configuration_;
   request.route = route_;
   request.tenant = assign_.item.job.tenant;
-  request.level = proxy::PriorityLevels(*configuration_).batch();
+  request.level = proxy::PriorityLevels(*configuration_).batch_level();
   request.batch = true;
   request.resumable = true;
   request.last_event_id = output_.all().last_event_id;
--- a/src/tier/proxy/active_call.h
+++ b/src/tier/proxy/active_call.h
@@ -1,5 +1,5 @@
-// One call under way: what was asked, its present attempt, and what may still be done with it.
-// Holds no connection and decides nothing of where it goes.
+// State of one call in progress: the request, its current attempt, and which retries are still
+// allowed. Holds no connection and does not choose endpoints.
 #ifndef SHELFLINK_TIER_PROXY_ACTIVE_CALL_H_
 #define SHELFLINK_TIER_PROXY_ACTIVE_CALL_H_
 
@@ -17,26 +17,26 @@
 namespace shelflink::proxy {
 
 struct ActiveCall {
-  static constexpr int kMostSends = 16;  // Of one call, however many did not run it.
+  static constexpr int kMaxSends = 16;  // Per call, including sends that were not executed.
 
-  ActiveCall(policy::CallId call, CallRequest asked, CallUser& told, net::Time now);
+  ActiveCall(policy::CallId call, CallRequest call_request, CallUser& call_user, net::Time now);
 
   int max_attempts() const { return request.max_attempts.value_or(request.route->max_attempts); }
   bool is_stream_route() const;
-  // An attempt begins at that endpoint.
-  void Begin(std::uint32_t number, const std::string& at);
-  // How long this attempt's endpoint may be silent. An endpoint's silence alone never ends an
-  // answer to a client: it is waited for to the call's end, but for a call that could go on at
-  // another endpoint. Items wait in the store, not here.
+  // Resets the state of the attempt for attempt `number` at endpoint `endpoint_id`.
+  void Begin(std::uint32_t number, const std::string& endpoint_id);
+  // Sets how long the attempt's endpoint may be silent. Silence alone never ends a response to a
+  // client: the proxy waits until the end of the call, unless the call could be continued at
+  // another endpoint. Batch items wait in their store instead, so their silence is limited.
   void SetSilences(net::Time now);
-  // Whether another attempt may follow one that may have run.
-  bool MayGoOn(net::Time now) const;
-  // Whether the answer could go on at another endpoint: one that has begun can only be continued as
-  // a stream whose events can be told apart.
-  bool CanContinue() const;
-  // Whether it may leave an endpoint that has fallen silent.
-  bool MayMove() const;
-  bool MaySendMore(net::Time now) const { return sends < kMostSends && now < deadline; }
+  // Whether another attempt is allowed after one that the endpoint may have executed.
+  bool MayRetry(net::Time now) const;
+  // Whether another endpoint could continue the response. One that has started can only be
+  // continued if it is a stream whose events are identified by ids.
+  bool CanResumeElsewhere() const;
+  // Whether the call is allowed to leave an endpoint that has become silent.
+  bool MayFailOver() const;
+  bool MaySendMore(net::Time now) const { return sends < kMaxSends && now < deadline; }
 
   policy::CallId id;
   CallRequest request;
@@ -44,35 +44,35 @@
   std::string service;
   TokenCount tokens;
   kelpspring::HttpRequest message;
-  net::Time deadline;  // What endpoints are told,
-  net::Time end;       // and when it is over for good.
+  net::Time deadline;    // Deadline that is sent to endpoints.
+  net::Time give_up_at;  // The call ends at this time at the latest.
   bool repeatable;
-  bool starting = true;  // Start has not returned: nothing may be told yet.
+  bool starting = true;  // Calls::Start has not returned: the user must not be called yet.
   int sends = 0;
-  int ran = 0;  // Endpoints that may have run it, the present one not among them.
+  int possible_runs = 0;  // Earlier attempts that an endpoint may have executed.
 
-  // The present attempt.
-  bool out = false;  // It is under way.
+  // Current attempt.
+  bool attempt_active = false;
   std::uint32_t attempt = 0;
   std::string endpoint;
-  bool forbidden = false;             // The call's user does not let it be sent.
-  net::Time moved{};                  // When it was sent, or its last part came,
-  net::Span most_silence{};           // how long nothing may follow at most,
-  net::Span first_silence{};          // how long at first until its endpoint is looked at,
-  net::Span later_silence{};          // how long inside its answer,
-  net::Span failover_silence{};       // or, at an endpoint that has fallen silent for all.
-  bool begun = false;                 // An event has come.
-  bool streaming = false;             // Its answer is a stream of events.
-  bool passing = false;               // It goes on in parts.
-  bool ends_with_connection = false;  // It has neither a length nor chunks.
+  bool send_forbidden = false;   // By the user or by the state of the endpoint list.
+  net::Time last_activity{};     // When it was sent, or its last part was received.
+  net::Span max_silence{};       // Silence after which the attempt is given up in any case.
+  net::Span initial_silence{};   // Silence before the response until OnLate is called.
+  net::Span ongoing_silence{};   // The same during the response.
+  net::Span failover_silence{};  // Silence of an endpoint on all calls that means failure.
+  bool first_event_received = false;
+  bool streaming = false;      // The response is an event stream.
+  bool forwarding = false;     // The response is forwarded in parts.
+  bool ends_at_close = false;  // The response has neither Content-Length nor chunks.
 
-  // The answer, over all attempts.
-  bool head_told = false;
+  // Response, across all attempts.
+  bool head_reported = false;
   int status = 0;
-  std::optional<kelpspring::HttpResponse> head;  // Of a stream, until its first event.
+  std::optional<kelpspring::HttpResponse> head;  // Head of a stream, until its first event.
   EventStream events;
-  // An endpoint's own, handed over if nothing better comes.
-  std::optional<kelpspring::HttpResponse> failure;
+  // An endpoint's error response, delivered if no later attempt has a better result.
+  std::optional<kelpspring::HttpResponse> failed_response;
 };
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/batch_job_service.h
+++ b/src/tier/proxy/batch_job_service.h
@@ -1,9 +1,9 @@
-// What the proxy asks of the batch part (batch/runner) when clients submit, read and end batch
-// jobs. The front has checked the key and found the route; everything of a batch job itself (its
-// JSON, the quota, the partition that keeps it) is the other side's.
+// Interface through which the proxy's frontend submits, reads and ends batch jobs for clients. The
+// frontend has checked the API key and found the route. The implementation (batch/front) handles
+// the job itself: its JSON, the quota, and the partition that stores it.
 //
-// Errors become statuses: kInvalid 400, kNotFound 404, kTooLarge 413, kExhausted 429 (nothing was
-// taken), kUnavailable 503 (nothing was taken), anything else 503, for a submission 504.
+// Errors become HTTP statuses: kInvalid 400, kNotFound 404, kTooLarge 413, kExhausted 429 (nothing
+// was stored), kUnavailable 503 (nothing was stored), others 503, for a submission 504.
 #ifndef SHELFLINK_TIER_PROXY_BATCH_JOB_SERVICE_H_
 #define SHELFLINK_TIER_PROXY_BATCH_JOB_SERVICE_H_
 
@@ -20,35 +20,35 @@
 
 namespace shelflink::proxy {
 
-// Who asks, and under which route.
+// The client's tenant and the route of its request.
 struct BatchCaller {
-  std::shared_ptr<const configuration::Configuration> configuration;  // In force when it came.
-  const configuration::Route* route = nullptr;                        // Of that configuration.
-  std::string tenant;  // Empty: the route is public, or there are no tenants.
-  net::Time came;      // The last byte of the request.
+  std::shared_ptr<const configuration::Configuration> configuration;  // Current on arrival.
+  const configuration::Route* route = nullptr;  // Points into `configuration`.
+  std::string tenant;     // Empty: the route is public, or there are no tenants.
+  net::Time received_at;  // Arrival of the request's last byte.
 };
 
 struct BatchSubmission {
-  std::string job;   // Shelflink-Request-Id, the job's id.
-  std::string json;  // The body as the client sent it, not looked at.
+  std::string job;   // Id of the job: Shelflink-Request-Id.
+  std::string json;  // The body as the client sent it, not parsed.
 };
 
 struct BatchRead {
   std::string job;
-  std::uint64_t after = 0;            // `afterId`: the first position wanted.
-  std::chrono::milliseconds wait{0};  // How long it may be held until there is a result.
+  std::uint64_t after = 0;            // `afterId`: position of the first result to return.
+  std::chrono::milliseconds wait{0};  // How long to wait for a result (long poll).
 };
 
 struct BatchResult {
-  std::string id;          // Of the item.
-  bool completed = false;  // Else dead_letter.
+  std::string id;          // Id of the item.
+  bool completed = false;  // False: dead_letter.
   std::string text;
 };
 
 struct BatchPage {
   std::uint64_t total = 0;
-  std::vector<BatchResult>
-      results;  // From position `after` on; nextToken follows from their count.
+  // From position `after` on; nextToken is `after` plus their count.
+  std::vector<BatchResult> results;
 };
 
 class BatchJobService {
@@ -57,10 +57,11 @@
   using Reply = std::function<void(Result<T>)>;
 
   virtual ~BatchJobService() = default;
-  // Each reply is called once, perhaps at once, perhaps after the client has left.
+  // Each reply is called exactly once: possibly before the function returns, possibly after the
+  // client has disconnected.
   virtual void Submit(const BatchCaller& caller, BatchSubmission submission, Reply<void> reply) = 0;
   virtual void Read(const BatchCaller& caller, const BatchRead& read, Reply<BatchPage> reply) = 0;
-  // The decoded body of an item that is not yet listed.
+  // Returns the decoded body of an item that is not listed as a result yet.
   virtual void Body(const BatchCaller& caller, const std::string& job, const std::string& item,
                     Reply<std::string> reply) = 0;
   virtual void End(const BatchCaller& caller, const std::string& job, Reply<void> reply) = 0;
--- a/src/tier/proxy/batch_requests.cpp
+++ b/src/tier/proxy/batch_requests.cpp
@@ -16,18 +16,20 @@
 using kelpspring::View;
 using ClientPtr = std::shared_ptr<Client>;
 
-constexpr std::string_view kLots = "/lots/";
-constexpr std::string_view kItems = "/items/";
-constexpr auto kLongestWait = std::chrono::milliseconds(10'000);
+constexpr std::string_view kLotsPath = "/lots/";
+constexpr std::string_view kItemsPath = "/items/";
+constexpr auto kMaxWait = std::chrono::milliseconds(10'000);
 
-std::string_view After(std::string_view text, std::string_view prefix) {
+// The text after `prefix`; empty if the text does not start with it.
+std::string_view SuffixAfter(std::string_view text, std::string_view prefix) {
   return text.substr(0, prefix.size()) == prefix ? text.substr(prefix.size()) : std::string_view();
 }
 
-// The value of a name in a query; ids and numbers need no escapes.
+// Value of a query parameter. Not percent-decoded: ids and numbers need no escapes.
 std::string_view QueryValue(std::string_view target, std::string_view name) {
-  const std::size_t mark = target.find('?');
-  std::string_view query = mark == target.npos ? std::string_view() : target.substr(mark + 1);
+  const std::size_t question_mark = target.find('?');
+  std::string_view query =
+      question_mark == target.npos ? std::string_view() : target.substr(question_mark + 1);
   while (!query.empty()) {
     const std::size_t end = std::min(query.find('&'), query.size());
     const std::string_view pair = query.substr(0, end);
@@ -58,88 +60,91 @@
   return submission ? 504 : 503;
 }
 
-HttpResponse AnswerWith(unsigned status, const char* type, std::string body) {
-  HttpResponse answer{http::int_to_status(status), 11};
-  answer.set(http::field::content_type, type);
-  answer.body() = std::move(body);
-  return answer;
+HttpResponse MakeResponse(unsigned status, const char* type, std::string body) {
+  HttpResponse response{http::int_to_status(status), 11};
+  response.set(http::field::content_type, type);
+  response.body() = std::move(body);
+  return response;
 }
 
+// Responds with the error, if the result has one. Returns whether it did.
 template <typename T>
-bool Failed(const ClientPtr& client, const Result<T>& result, bool submission = false) {
+bool RespondIfError(const ClientPtr& client, const Result<T>& result, bool submission = false) {
   if (result) return false;
   client->RespondPlain(StatusOf(result.error(), submission), result.error().text + '\n');
   return true;
 }
 
-void Submit(const ClientPtr& client, kelpspring::HttpRequest request, const BatchCaller& caller,
-            BatchJobService& batch) {
+void SubmitJob(const ClientPtr& client, kelpspring::HttpRequest request, const BatchCaller& caller,
+               BatchJobService& batch) {
   std::string job(View(request[kRequestIdHeader]));
   if (job.empty() || request.count(kRequestIdHeader) > 1) {
     return client->RespondPlain(400, "Shelflink-Request-Id: expected once\n");
   }
   BatchSubmission submission{std::move(job), std::move(request.body())};
   batch.Submit(caller, std::move(submission), [client](const Result<void>& result) {
-    if (!Failed(client, result, true)) {
-      client->Respond(AnswerWith(202, "application/json", "{}"));
+    if (!RespondIfError(client, result, true)) {
+      client->Respond(MakeResponse(202, "application/json", "{}"));
     }
   });
 }
 
-void Read(const ClientPtr& client, const kelpspring::HttpRequest& request, std::string job,
-          const BatchCaller& caller, BatchJobService& batch) {
+void GetPage(const ClientPtr& client, const kelpspring::HttpRequest& request, std::string job,
+             const BatchCaller& caller, BatchJobService& batch) {
   const std::string_view after = QueryValue(View(request.target()), "afterId");
-  const auto position = after.empty() ? 0 : WholeNumber(after);
+  const auto position = after.empty() ? 0 : ParseUnsigned(after);
   if (!position) return client->RespondPlain(400, "afterId: expected a whole number\n");
   BatchRead read{std::move(job), *position, {}};
-  if (const auto wait = WholeNumber(View(request[kWaitHeader]))) {
-    const auto most = static_cast<std::uint64_t>(kLongestWait.count());
-    read.wait = std::chrono::milliseconds(std::min(*wait, most));
+  if (const auto wait = ParseUnsigned(View(request[kWaitHeader]))) {
+    const auto max_wait_ms = static_cast<std::uint64_t>(kMaxWait.count());
+    read.wait = std::chrono::milliseconds(std::min(*wait, max_wait_ms));
   }
   batch.Read(caller, read, [client, from = *position](const Result<BatchPage>& page) {
-    if (Failed(client, page)) return;
-    client->Respond(AnswerWith(200, "application/json", PageJson(page.value(), from)));
+    if (RespondIfError(client, page)) return;
+    client->Respond(MakeResponse(200, "application/json", PageJson(page.value(), from)));
   });
 }
 
-void ReadBody(const ClientPtr& client, const kelpspring::HttpRequest& request,
-              const std::string& job, const BatchCaller& caller, BatchJobService& batch) {
+void ReadItemBody(const ClientPtr& client, const kelpspring::HttpRequest& request,
+                  const std::string& job, const BatchCaller& caller, BatchJobService& batch) {
   const std::string item(QueryValue(View(request.target()), "id"));
   if (item.empty()) return client->RespondPlain(400, "id: expected the id of an item\n");
   batch.Body(caller, job, item, [client](const Result<std::string>& body) {
-    if (Failed(client, body)) return;
-    client->Respond(AnswerWith(200, "application/octet-stream", body.value()));
+    if (RespondIfError(client, body)) return;
+    client->Respond(MakeResponse(200, "application/octet-stream", body.value()));
   });
 }
 
-void End(const ClientPtr& client, const std::string& job, const BatchCaller& caller,
-         BatchJobService& batch) {
+void EndJob(const ClientPtr& client, const std::string& job, const BatchCaller& caller,
+            BatchJobService& batch) {
   batch.End(caller, job, [client](const Result<void>& result) {
-    if (!Failed(client, result)) client->Respond(AnswerWith(200, "application/json", "{}"));
+    if (!RespondIfError(client, result))
+      client->Respond(MakeResponse(200, "application/json", "{}"));
   });
 }
 
 }  // namespace
 
 bool IsBatchJobPath(std::string_view path) {
-  return !After(path, kLots).empty() || !After(path, kItems).empty();
+  return !SuffixAfter(path, kLotsPath).empty() || !SuffixAfter(path, kItemsPath).empty();
 }
 
-void AnswerBatchRequest(const ClientPtr& client, kelpspring::HttpRequest request,
+void HandleBatchRequest(const ClientPtr& client, kelpspring::HttpRequest request,
                         const BatchCaller& caller, BatchJobService& batch) {
   const std::string path(kelpspring::PathOf(View(request.target())));
-  const std::string job(After(path, kLots));
-  const std::string of_items(After(path, kItems));
+  const std::string job(SuffixAfter(path, kLotsPath));
+  const std::string items_job(SuffixAfter(path, kItemsPath));
   const auto method = request.method();
-  if (method == http::verb::post && job.empty() && of_items.empty()) {
-    return Submit(client, std::move(request), caller, batch);
+  if (method == http::verb::post && job.empty() && items_job.empty()) {
+    return SubmitJob(client, std::move(request), caller, batch);
   }
-  if (method == http::verb::get && !job.empty()) return Read(client, request, job, caller, batch);
-  if (method == http::verb::delete_ && !job.empty()) return End(client, job, caller, batch);
-  if (method == http::verb::get && !of_items.empty()) {
-    return ReadBody(client, request, of_items, caller, batch);
+  if (method == http::verb::get && !job.empty())
+    return GetPage(client, request, job, caller, batch);
+  if (method == http::verb::delete_ && !job.empty()) return EndJob(client, job, caller, batch);
+  if (method == http::verb::get && !items_job.empty()) {
+    return ReadItemBody(client, request, items_job, caller, batch);
   }
-  client->RespondPlain(400, "no such request about a batch job\n");
+  client->RespondPlain(400, "unsupported method or path for a batch job\n");
 }
 
 std::string PageJson(const BatchPage& page, std::uint64_t after) {
--- a/src/tier/proxy/batch_requests.h
+++ b/src/tier/proxy/batch_requests.h
@@ -1,4 +1,5 @@
-// Clients' requests about batch jobs as typed questions, and the answers as HTTP.
+// Translates clients' HTTP requests about batch jobs into calls of BatchJobService, and the replies
+// into HTTP responses.
 #ifndef SHELFLINK_TIER_PROXY_BATCH_REQUESTS_H_
 #define SHELFLINK_TIER_PROXY_BATCH_REQUESTS_H_
 
@@ -10,15 +11,16 @@
 
 namespace shelflink::proxy {
 
-// Whether the path is one by which jobs are read and ended (/lots/ID, /items/ID).
+// Whether jobs are read or ended under this path (/lots/ID, /items/ID).
 bool IsBatchJobPath(std::string_view path);
 
-// Asks `batch` and answers the client, at once where the request cannot be used.
-void AnswerBatchRequest(const std::shared_ptr<kelpspring::Client>& client,
+// Passes the request to `batch` and responds to the client with its reply; responds immediately if
+// the request is invalid.
+void HandleBatchRequest(const std::shared_ptr<kelpspring::Client>& client,
                         kelpspring::HttpRequest request, const BatchCaller& caller,
                         BatchJobService& batch);
 
-// As it goes out: {"total":..,"nextToken":..,"results":[..]}.
+// Serializes a page: {"total":..,"nextToken":..,"results":[..]}.
 std::string PageJson(const BatchPage& page, std::uint64_t after);
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -26,10 +26,11 @@
 
 namespace {
 
-constexpr std::uint64_t kHeldAnswer = 65536;  // A longer answer goes on in parts.
-constexpr auto kConnectSpan = milliseconds(250);
-// How often one that is late is looked at again, while its endpoint answers others.
-constexpr auto kLookAgain = milliseconds(250);
+constexpr std::uint64_t kMaxBufferedResponseBytes =
+    65536;  // A longer response is forwarded in parts.
+constexpr auto kConnectTimeout = milliseconds(250);
+// Interval of checks of a late attempt while its endpoint responds on other calls.
+constexpr auto kLateRecheckInterval = milliseconds(250);
 
 }  // namespace
 
@@ -38,8 +39,8 @@
     : loop_(loop),
       log_(log),
       options_(std::move(options)),
-      upstream_(loop, log, budget, std::chrono::microseconds(0), kConnectSpan, *this,
-                [] { return kHeldAnswer; },
+      upstream_(loop, log, budget, std::chrono::microseconds(0), kConnectTimeout, *this,
+                [] { return kMaxBufferedResponseBytes; },
                 {kDeadlineHeader, kRequestIdHeader,
                  [this](AttemptKey key, const HttpResponse& head) { return ReadHead(key, head); },
                  milliseconds(0), true, true, true}),
@@ -48,7 +49,7 @@
       feed_(module_, registry_, {options_.node, options_.zone, options_.max_calls}),
       timer_(loop.NewTimer([this] {
         module_.OnTimer(Now());
-        CarryOut();
+        ExecuteDecisions();
       })) {}
 
 EndpointCalls::~EndpointCalls() = default;
@@ -57,70 +58,70 @@
 
 void EndpointCalls::OnView(const cluster::View& view) {
   feed_.OnView(Now(), view);
-  CarryOut();
+  ExecuteDecisions();
 }
 
 // ---- Calls ----
 
 CallId EndpointCalls::Start(CallRequest request, CallUser& user) {
-  if (request.batch) request.level = feed_.levels().batch();
-  const auto live =
+  if (request.batch) request.level = feed_.levels().batch_level();
+  const auto active =
       std::make_shared<ActiveCall>(++last_call_, std::move(request), user, loop_.Now());
-  calls_[live->id] = live;
-  if (IsTarget(live->request.target)) {
-    module_.OnCall(Now(), DescriptionOf(*live, live->id));
-    CarryOut();
+  calls_[active->id] = active;
+  if (IsValidTarget(active->request.target)) {
+    module_.OnCall(Now(), DescriptionOf(*active, active->id));
+    ExecuteDecisions();
   } else {
-    Finish(live, CallEnd::kFailed);
+    Finish(active, CallEnd::kFailed);
   }
-  live->starting = false;
-  return live->id;
+  active->starting = false;
+  return active->id;
 }
 
-policy::Call EndpointCalls::DescriptionOf(const ActiveCall& live, CallId id) const {
-  const CallRequest& request = live.request;
+policy::Call EndpointCalls::DescriptionOf(const ActiveCall& active, CallId id) const {
+  const CallRequest& request = active.request;
   const Route& route = *request.route;
   policy::Call call;
   call.id = id;
   call.level = request.level;
   call.flow = HashOf(request.tenant.empty() ? route.name : request.tenant);
-  call.service = live.service;
-  if (!request.batch || request.due) call.due = SteadyMicros(live.deadline);
+  call.service = active.service;
+  if (!request.batch || request.deadline) call.due = SteadyMicros(active.deadline);
   call.timeout = std::chrono::duration_cast<std::chrono::microseconds>(route.timeout).count();
   call.objective = std::chrono::duration_cast<std::chrono::microseconds>(route.slo).count();
-  call.max_attempts = live.max_attempts();
-  call.repeatable = live.repeatable;
+  call.max_attempts = active.max_attempts();
+  call.repeatable = active.repeatable;
   call.batch = request.batch;
-  call.prompt_tokens = live.tokens.prompt;
-  call.output_tokens = live.tokens.most_out;
+  call.prompt_tokens = active.tokens.prompt;
+  call.output_tokens = active.tokens.max_output;
   call.prompt = ParsePromptPrefix(ValueOf(request.headers, kPromptPrefixHeader));
   return call;
 }
 
 void EndpointCalls::Resume(CallId call) {
-  const CallPtr live = Find(call);
-  if (live && live->out) upstream_.Resume({call, live->attempt});
+  const CallPtr active = Find(call);
+  if (active && active->attempt_active) upstream_.Resume({call, active->attempt});
 }
 
 void EndpointCalls::Cancel(CallId call) {
-  const CallPtr live = Find(call);
-  if (!live) return;
+  const CallPtr active = Find(call);
+  if (!active) return;
   calls_.erase(call);
-  if (live->out) upstream_.Cancel({call, live->attempt});
+  if (active->attempt_active) upstream_.Cancel({call, active->attempt});
   module_.OnAbandoned(Now(), call);
-  CarryOut();
+  ExecuteDecisions();
 }
 
 std::uint32_t EndpointCalls::BatchCapacity() const {
-  return module_.Room(Now(), feed_.levels().batch());
+  return module_.Room(Now(), feed_.levels().batch_level());
 }
 
 std::map<std::string, EndpointCalls::Load> EndpointCalls::Loads() const {
   std::map<std::string, Load> loads;
-  for (const auto& [id, live] : calls_) {
-    Load& load = loads[live->service];
-    (live->out ? load.running : load.waiting) +=
-        std::uint64_t{live->tokens.prompt} + live->tokens.most_out;
+  for (const auto& [id, active] : calls_) {
+    Load& load = loads[active->service];
+    (active->attempt_active ? load.running : load.waiting) +=
+        std::uint64_t{active->tokens.prompt} + active->tokens.max_output;
   }
   return loads;
 }
@@ -131,8 +132,8 @@
 }
 
 EndpointCalls::CallPtr EndpointCalls::FindAttempt(AttemptKey key) const {
-  CallPtr live = Find(key.first);
-  return live && live->out && live->attempt == key.second ? live : nullptr;
+  CallPtr active = Find(key.first);
+  return active && active->attempt_active && active->attempt == key.second ? active : nullptr;
 }
 
 // ---- Decisions of the module ----
@@ -151,306 +152,309 @@
 
 void EndpointCalls::SetTimer(Micros at) { timer_->ArmAt(net::Time(std::chrono::microseconds(at))); }
 
-void EndpointCalls::CarryOut() {
-  if (std::exchange(carrying_out_, true)) return;
+void EndpointCalls::ExecuteDecisions() {
+  if (std::exchange(executing_decisions_, true)) return;
   while (!decisions_.empty()) {
     const Decision decision = std::move(decisions_.front());
     decisions_.pop_front();
     if (decision.kind == Decision::Kind::kSend) {
       StartAttempt(decision);
-    } else if (const CallPtr live = Find(decision.call)) {
-      // What never ran is told so, whatever the module calls it.
-      Finish(live, live->ran == 0 ? CallEnd::kRefused : CallEnd::kFailed, decision.retry_after);
+    } else if (const CallPtr active = Find(decision.call)) {
+      // A call that was never executed is reported as refused, even if the module fails it.
+      Finish(active, active->possible_runs == 0 ? CallEnd::kRefused : CallEnd::kFailed,
+             decision.retry_after);
     }
   }
-  carrying_out_ = false;
+  executing_decisions_ = false;
 }
 
 void EndpointCalls::StartAttempt(const Decision& decision) {
-  const CallPtr live = Find(decision.call);
-  if (!live) return;
+  const CallPtr active = Find(decision.call);
+  if (!active) return;
   const AttemptKey key{decision.call, decision.attempt};
-  live->Begin(decision.attempt, decision.endpoint);
-  live->forbidden = IsForbidden(*live);
-  if (!Find(decision.call)) return;  // Cancelled by its user.
+  active->Begin(decision.attempt, decision.endpoint);
+  active->send_forbidden = IsSendForbidden(*active);
+  if (!Find(decision.call)) return;  // Its user has cancelled it in MaySend.
   const KnownEndpoint* known = registry_.Find(decision.endpoint);
   const net::Time now = loop_.Now();
-  if (live->forbidden || known == nullptr || !live->MaySendMore(now)) {
-    return EndUnsent(live, key, Outcome::kNeverSent);
+  if (active->send_forbidden || known == nullptr || !active->MaySendMore(now)) {
+    return EndNotRun(active, key, Outcome::kNeverSent);
   }
-  CheckList(*live, *known);
-  ++live->sends;
-  live->message.set(kExpectInstanceHeader, decision.endpoint);
-  if (live->events.events() > 0 && live->events.last_id()) {
-    live->message.set(kLastEventIdHeader, std::to_string(*live->events.last_id()));
+  CheckListFreshness(*active, *known);
+  ++active->sends;
+  active->message.set(kExpectInstanceHeader, decision.endpoint);
+  if (active->events.events() > 0 && active->events.last_id()) {
+    active->message.set(kLastEventIdHeader, std::to_string(*active->events.last_id()));
   }
-  live->moved = now;
-  live->SetSilences(now);
-  const net::Time until = std::min(live->end, now + live->first_silence);
-  kelpspring::Outbound outbound{live->message, false, std::nullopt, until, {}};
-  outbound.silence = live->later_silence;
-  outbound.end = live->end;
-  outbound.deadline = live->deadline;
-  outbound.repeatable = live->repeatable;
+  active->last_activity = now;
+  active->SetSilences(now);
+  const net::Time until = std::min(active->give_up_at, now + active->initial_silence);
+  kelpspring::Outbound outbound{active->message, false, std::nullopt, until, {}};
+  outbound.silence = active->ongoing_silence;
+  outbound.end = active->give_up_at;
+  outbound.deadline = active->deadline;
+  outbound.repeatable = active->repeatable;
   upstream_.Send(key, known->number, outbound,
                  [this, key](kelpspring::Answer answer) { EndAttempt(key, std::move(answer)); });
-  if (FindAttempt(key)) CheckDraining(*live);
+  if (FindAttempt(key)) CheckNotDraining(*active);
 }
 
 ListState EndpointCalls::ListStateNow() const {
   return options_.list_state ? options_.list_state() : ListState::kExcused;
 }
 
-bool EndpointCalls::IsForbidden(ActiveCall& live) const {
-  if (!live.user->MaySend()) return true;
+bool EndpointCalls::IsSendForbidden(ActiveCall& active) const {
+  if (!active.user->MaySend()) return true;
   const ListState list = ListStateNow();
-  return live.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);
+  return active.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);
 }
 
-void EndpointCalls::CheckList(const ActiveCall& live, const KnownEndpoint& known) const {
-  if (!known.takes_requests()) return;  // The connections refuse it.
+void EndpointCalls::CheckListFreshness(const ActiveCall& active, const KnownEndpoint& known) const {
+  if (!known.takes_requests()) return;  // Upstream rejects the attempt.
   if (ListStateNow() == ListState::kStale) {
-    ProcessInvariants().Violate(Invariant::kEndpointListIsFresh, "a request to " + live.endpoint,
+    ProcessInvariants().Violate(Invariant::kEndpointListIsFresh, "a request to " + active.endpoint,
                                 Now());
   }
 }
 
-// Of an attempt that the connections have taken: they keep a list of their own of where requests
-// may go, and refuse what it does not name.
-void EndpointCalls::CheckDraining(const ActiveCall& live) const {
-  if (registry_.SeenDraining(live.endpoint)) {
-    ProcessInvariants().Violate(Invariant::kDrainingStaysDraining, "a request to " + live.endpoint,
-                                Now());
+// Checks an attempt that Upstream has accepted. Upstream has its own record of the endpoints that
+// may get requests and rejects attempts to others.
+void EndpointCalls::CheckNotDraining(const ActiveCall& active) const {
+  if (registry_.WasDraining(active.endpoint)) {
+    ProcessInvariants().Violate(Invariant::kDrainingStaysDraining,
+                                "a request to " + active.endpoint, Now());
   }
 }
 
-// ---- What endpoints answer ----
+// ---- Responses of endpoints ----
 
 bool EndpointCalls::OnUp(AttemptKey key) {
-  const CallPtr live = FindAttempt(key);
-  if (!live) return false;
-  live->forbidden = IsForbidden(*live);
-  if (live->forbidden || Find(key.first) == nullptr) return false;
-  CheckDraining(*live);
+  const CallPtr active = FindAttempt(key);
+  if (!active) return false;
+  active->send_forbidden = IsSendForbidden(*active);
+  if (active->send_forbidden || Find(key.first) == nullptr) return false;
+  CheckNotDraining(*active);
   return true;
 }
 
 kelpspring::Reading EndpointCalls::ReadHead(AttemptKey key, const HttpResponse& head) const {
-  const CallPtr live = FindAttempt(key);
-  if (!live) return {};
-  return ClassifyResponseHead({live->request.request_id, live->is_stream_route()}, head);
+  const CallPtr active = FindAttempt(key);
+  if (!active) return {};
+  return ClassifyResponseHead({active->request.request_id, active->is_stream_route()}, head);
 }
 
-void EndpointCalls::NoteLoad(const ActiveCall& live, const HttpResponse& head) {
+void EndpointCalls::ReportLoad(const ActiveCall& active, const HttpResponse& head) {
   const auto load = ParseServerLoad(View(head[kServerLoadHeader]));
-  if (load) module_.OnLoad(Now(), live.endpoint, load->running, load->waiting, load->slots);
+  if (load) module_.OnLoad(Now(), active.endpoint, load->running, load->waiting, load->slots);
 }
 
-void EndpointCalls::NoteHeard(ActiveCall& live) {
-  live.moved = loop_.Now();
-  registry_.NoteHeard(live.endpoint, live.moved);
+void EndpointCalls::RecordActivity(ActiveCall& active) {
+  active.last_activity = loop_.Now();
+  registry_.RecordActivity(active.endpoint, active.last_activity);
 }
 
-// A call whose endpoint answers others is late, not lost: moving it would only add work where
-// there is too much of it. One whose endpoint has fallen silent for all goes on elsewhere, if
-// another endpoint would take it.
+// A late call whose endpoint still responds on other calls is kept there: moving it would only add
+// work to an overloaded service. If the endpoint is silent on all calls, the call is sent to
+// another endpoint, provided that one would accept it.
 std::optional<net::Time> EndpointCalls::OnLate(AttemptKey key) {
-  const CallPtr live = FindAttempt(key);
-  if (!live) return std::nullopt;
+  const CallPtr active = FindAttempt(key);
+  if (!active) return std::nullopt;
   const net::Time now = loop_.Now();
-  const net::Time last = std::min(live->end, live->moved + live->most_silence);
-  if (now >= last) return std::nullopt;
-  const KnownEndpoint* known = registry_.Find(live->endpoint);
-  const bool alive = known != nullptr && known->heard + live->failover_silence > now;
-  if (!alive && (live->request.batch || CanMove(*live, key))) return std::nullopt;
-  return std::min<net::Time>(last, now + kLookAgain);
+  const net::Time wait_until =
+      std::min(active->give_up_at, active->last_activity + active->max_silence);
+  if (now >= wait_until) return std::nullopt;
+  const KnownEndpoint* known = registry_.Find(active->endpoint);
+  const bool responsive = known != nullptr && known->last_activity + active->failover_silence > now;
+  if (!responsive && (active->request.batch || CanFailOver(*active, key))) return std::nullopt;
+  return std::min<net::Time>(wait_until, now + kLateRecheckInterval);
 }
 
 bool EndpointCalls::OnAnswerBegun(AttemptKey key, HttpResponse head,
                                   std::optional<std::uint64_t> length) {
-  const CallPtr live = FindAttempt(key);
-  if (!live) return false;
-  NoteHeard(*live);
-  NoteLoad(*live, head);
-  live->passing = true;
-  live->streaming = live->is_stream_route() && IsEventStream(head);
-  live->ends_with_connection = !length && !head.chunked();
-  if (live->streaming) {
-    if (!live->head_told) live->head = std::move(head);
+  const CallPtr active = FindAttempt(key);
+  if (!active) return false;
+  RecordActivity(*active);
+  ReportLoad(*active, head);
+  active->forwarding = true;
+  active->streaming = active->is_stream_route() && IsEventStream(head);
+  active->ends_at_close = !length && !head.chunked();
+  if (active->streaming) {
+    if (!active->head_reported) active->head = std::move(head);
     return true;
   }
-  // A further run that is no stream cannot continue one.
-  if (live->head_told) return false;
+  // A response that is no event stream cannot continue a started one.
+  if (active->head_reported) return false;
   module_.OnFirstEvent(Now(), key.first, key.second);
-  TellHead(live, head, length);
+  ReportHead(active, head, length);
   return FindAttempt(key) != nullptr;
 }
 
-void EndpointCalls::TellHead(const CallPtr& live, const HttpResponse& head,
-                             std::optional<std::uint64_t> length) {
-  live->head_told = true;
-  live->status = static_cast<int>(head.result_int());
-  live->user->OnHead(live->status, ResponseHeaders(head), length);
+void EndpointCalls::ReportHead(const CallPtr& active, const HttpResponse& head,
+                               std::optional<std::uint64_t> length) {
+  active->head_reported = true;
+  active->status = static_cast<int>(head.result_int());
+  active->user->OnHead(active->status, ResponseHeaders(head), length);
 }
 
-void EndpointCalls::TellPendingHead(const CallPtr& live) {
-  if (live->head) TellHead(live, *std::exchange(live->head, std::nullopt), std::nullopt);
+void EndpointCalls::ReportPendingHead(const CallPtr& active) {
+  if (active->head) ReportHead(active, *std::exchange(active->head, std::nullopt), std::nullopt);
 }
 
 bool EndpointCalls::OnAnswerPart(AttemptKey key, std::string_view part) {
-  const CallPtr live = FindAttempt(key);
-  if (!live) return false;
-  NoteHeard(*live);
-  return live->streaming ? TellEvents(live, key, part) : live->user->OnBody(part);
+  const CallPtr active = FindAttempt(key);
+  if (!active) return false;
+  RecordActivity(*active);
+  return active->streaming ? ForwardEvents(active, key, part) : active->user->OnBody(part);
 }
 
-bool EndpointCalls::TellEvents(const CallPtr& live, AttemptKey key, std::string_view part) {
-  // The head goes before the first event; whoever is told may cancel the call.
+bool EndpointCalls::ForwardEvents(const CallPtr& active, AttemptKey key, std::string_view part) {
+  // The head is reported before the first event. The user may cancel the call in each function.
   const auto on_event = [&](const Event& event) {
-    if (FindAttempt(key)) TellPendingHead(live);
-    if (FindAttempt(key)) live->user->OnEvent(event);
+    if (FindAttempt(key)) ReportPendingHead(active);
+    if (FindAttempt(key)) active->user->OnEvent(event);
   };
-  const EventStream::Taken taken =
-      live->user->WantsEvents() ? live->events.Take(part, on_event) : live->events.Take(part);
+  const EventStream::Output output =
+      active->user->WantsEvents() ? active->events.Feed(part, on_event) : active->events.Feed(part);
   if (!FindAttempt(key)) return false;
-  if (taken.events > 0) {
-    if (!std::exchange(live->begun, true)) module_.OnFirstEvent(Now(), key.first, key.second);
-    module_.OnProgress(Now(), key.first, key.second, taken.events);
-    CarryOut();
+  if (output.events > 0) {
+    if (!std::exchange(active->first_event_received, true))
+      module_.OnFirstEvent(Now(), key.first, key.second);
+    module_.OnProgress(Now(), key.first, key.second, output.events);
+    ExecuteDecisions();
   }
-  if (!taken.bytes.empty()) TellPendingHead(live);
+  if (!output.bytes.empty()) ReportPendingHead(active);
   if (!FindAttempt(key)) return false;
-  const bool wanted = taken.bytes.empty() || live->user->OnBody(taken.bytes);
-  if (!taken.broken || !FindAttempt(key)) return wanted;
-  log_.Line("a stream's events do not follow one another: it is cut");
-  live->out = false;
+  const bool wants_more = output.bytes.empty() || active->user->OnBody(output.bytes);
+  if (!output.broken || !FindAttempt(key)) return wants_more;
+  log_.Line("event stream has a gap or an oversized event; closing the response");
+  active->attempt_active = false;
   upstream_.Cancel(key);
-  Tell(key, Outcome::kCut, false);
-  Finish(live, CallEnd::kBroken);
+  ReportOutcome(key, Outcome::kCut, false);
+  Finish(active, CallEnd::kBroken);
   return false;
 }
 
 void EndpointCalls::EndAttempt(AttemptKey key, kelpspring::Answer answer) {
-  const CallPtr live = FindAttempt(key);
-  if (!live) return;
+  const CallPtr active = FindAttempt(key);
+  if (!active) return;
   switch (answer.code) {
     case OutcomeCode::kOk:
-      if (live->streaming) return EndStream(live, key);
-      return EndAnswered(live, key, std::move(answer.message));
+      if (active->streaming) return CompleteStream(active, key);
+      return CompleteResponse(active, key, std::move(answer.message));
     case OutcomeCode::kFull: {
-      NoteHeard(*live);
-      NoteLoad(*live, answer.message);
+      RecordActivity(*active);
+      ReportLoad(*active, answer.message);
       const bool misdirected = answer.message.result_int() == 421;
       if (misdirected) {
-        registry_.NoteMisdirected(live->endpoint);
-        feed_.TellServices(Now());
+        registry_.MarkMisdirected(active->endpoint);
+        feed_.UpdateServices(Now());
       }
-      return EndUnsent(live, key, misdirected ? Outcome::kMisdirected : Outcome::kNotRun);
+      return EndNotRun(active, key, misdirected ? Outcome::kMisdirected : Outcome::kNotRun);
     }
     case OutcomeCode::kNeverSent:
     case OutcomeCode::kConnectFailed:
-      return EndUnsent(live, key, Outcome::kNeverSent);
+      return EndNotRun(active, key, Outcome::kNeverSent);
     case OutcomeCode::kTimeout:
-      return EndBroken(live, key, Outcome::kTimeout);
+      return FailAttempt(active, key, Outcome::kTimeout);
     case OutcomeCode::kCancelled:
-      return EndBroken(live, key, Outcome::kCancelled);
+      return FailAttempt(active, key, Outcome::kCancelled);
     case OutcomeCode::kReset:
-      return EndBroken(live, key, Outcome::kReset);
+      return FailAttempt(active, key, Outcome::kReset);
     case OutcomeCode::kError:
-      return EndBroken(live, key, Outcome::kError);
+      return FailAttempt(active, key, Outcome::kError);
   }
 }
 
-// This endpoint did not run it; another may be asked at any time.
-void EndpointCalls::EndUnsent(const CallPtr& live, AttemptKey key, Outcome outcome) {
-  live->out = false;
-  const bool again = !live->forbidden && live->MaySendMore(loop_.Now());
-  Tell(key, outcome, again);
-  if (again) return;
-  Finish(live, live->ran == 0 ? CallEnd::kRefused : CallEnd::kFailed);
-}
-
-// Whether the call, given up at its present endpoint, would go on at another at once.
-bool EndpointCalls::CanMove(const ActiveCall& live, AttemptKey key) const {
-  return live.MayMove() && live.sends < ActiveCall::kMostSends && live.CanContinue() &&
-         module_.CanMove(Now(), key.first, key.second);
-}
-
-// It may have run, and no whole answer came of it.
-void EndpointCalls::EndBroken(const CallPtr& live, AttemptKey key, Outcome outcome) {
-  live->out = false;
-  ++live->ran;
-  const bool again = live->MayGoOn(loop_.Now());
-  if (live->streaming && live->events.events() > 0) outcome = Outcome::kCut;
-  if (again) live->events.Rejoin();
-  Tell(key, outcome, again);
-  if (!again) Finish(live, CallEnd::kFailed);
-}
-
-void EndpointCalls::EndStream(const CallPtr& live, AttemptKey key) {
-  const std::string rest(live->events.rest());
-  // The end of a connection alone does not tell a stream that is whole from one that broke off.
-  if (!rest.empty() && live->ends_with_connection) return EndBroken(live, key, Outcome::kReset);
-  // Its framing says that it is whole, so what stands behind the last event belongs to it.
-  TellPendingHead(live);
-  if (!rest.empty() && FindAttempt(key)) live->user->OnBody(rest);
-  live->out = false;
-  Tell(key, Outcome::kSuccess, false);
-  Finish(live, CallEnd::kComplete);
-}
-
-void EndpointCalls::EndAnswered(const CallPtr& live, AttemptKey key, HttpResponse message) {
-  if (live->passing) {  // All of it has gone on in parts.
-    live->out = false;
-    Tell(key, live->status >= 500 ? Outcome::kError : Outcome::kSuccess, false);
-    return Finish(live, CallEnd::kComplete);
+// Ends an attempt that the endpoint did not execute. The call may be sent retry at any time.
+void EndpointCalls::EndNotRun(const CallPtr& active, AttemptKey key, Outcome outcome) {
+  active->attempt_active = false;
+  const bool retry = !active->send_forbidden && active->MaySendMore(loop_.Now());
+  ReportOutcome(key, outcome, retry);
+  if (retry) return;
+  Finish(active, active->possible_runs == 0 ? CallEnd::kRefused : CallEnd::kFailed);
+}
+
+// Whether another endpoint would accept the call immediately if its current attempt was given up.
+bool EndpointCalls::CanFailOver(const ActiveCall& active, AttemptKey key) const {
+  return active.MayFailOver() && active.sends < ActiveCall::kMaxSends &&
+         active.CanResumeElsewhere() && module_.CanMove(Now(), key.first, key.second);
+}
+
+// Ends an attempt that may have been executed without a complete response.
+void EndpointCalls::FailAttempt(const CallPtr& active, AttemptKey key, Outcome outcome) {
+  active->attempt_active = false;
+  ++active->possible_runs;
+  const bool retry = active->MayRetry(loop_.Now());
+  if (active->streaming && active->events.events() > 0) outcome = Outcome::kCut;
+  if (retry) active->events.BeginResumedRun();
+  ReportOutcome(key, outcome, retry);
+  if (!retry) Finish(active, CallEnd::kFailed);
+}
+
+void EndpointCalls::CompleteStream(const CallPtr& active, AttemptKey key) {
+  const std::string partial(active->events.incomplete_event());
+  // Without framing, a close inside an event means that the stream was cut off.
+  if (!partial.empty() && active->ends_at_close) return FailAttempt(active, key, Outcome::kReset);
+  // The stream is complete, so bytes after the last event belong to it.
+  ReportPendingHead(active);
+  if (!partial.empty() && FindAttempt(key)) active->user->OnBody(partial);
+  active->attempt_active = false;
+  ReportOutcome(key, Outcome::kSuccess, false);
+  Finish(active, CallEnd::kComplete);
+}
+
+void EndpointCalls::CompleteResponse(const CallPtr& active, AttemptKey key, HttpResponse message) {
+  if (active->forwarding) {  // The body has been forwarded in parts.
+    active->attempt_active = false;
+    ReportOutcome(key, active->status >= 500 ? Outcome::kError : Outcome::kSuccess, false);
+    return Finish(active, CallEnd::kComplete);
   }
-  NoteHeard(*live);
-  NoteLoad(*live, message);
-  // A further run that is no stream cannot continue one.
-  if (live->head_told) return EndBroken(live, key, Outcome::kError);
+  RecordActivity(*active);
+  ReportLoad(*active, message);
+  // A response that is no event stream cannot continue a started one.
+  if (active->head_reported) return FailAttempt(active, key, Outcome::kError);
   const bool failed = message.result_int() >= 500;
-  live->out = false;
-  if (failed) ++live->ran;
-  const bool again = failed && !live->request.batch && live->MayGoOn(loop_.Now());
-  if (again) {
-    live->failure = std::move(message);
+  active->attempt_active = false;
+  if (failed) ++active->possible_runs;
+  const bool retry = failed && !active->request.batch && active->MayRetry(loop_.Now());
+  if (retry) {
+    active->failed_response = std::move(message);
   } else {
-    HandOver(live, std::move(message));
+    DeliverResponse(active, std::move(message));
   }
-  Tell(key, failed ? Outcome::kError : Outcome::kSuccess, again);
+  ReportOutcome(key, failed ? Outcome::kError : Outcome::kSuccess, retry);
 }
 
-void EndpointCalls::HandOver(const CallPtr& live, HttpResponse message) {
-  TellHead(live, message, message.body().size());
-  if (!Find(live->id)) return;
-  if (!message.body().empty()) live->user->OnBody(message.body());
-  Finish(live, CallEnd::kComplete);
+void EndpointCalls::DeliverResponse(const CallPtr& active, HttpResponse message) {
+  ReportHead(active, message, message.body().size());
+  if (!Find(active->id)) return;
+  if (!message.body().empty()) active->user->OnBody(message.body());
+  Finish(active, CallEnd::kComplete);
 }
 
-void EndpointCalls::Tell(AttemptKey key, Outcome outcome, bool again) {
-  module_.OnOutcome(Now(), key.first, key.second, outcome, again);
-  CarryOut();
+void EndpointCalls::ReportOutcome(AttemptKey key, Outcome outcome, bool retry) {
+  module_.OnOutcome(Now(), key.first, key.second, outcome, retry);
+  ExecuteDecisions();
 }
 
-// The one end of a call, unless it was cancelled.
-void EndpointCalls::Finish(const CallPtr& live, CallEnd end, Micros retry_after) {
-  if (calls_.erase(live->id) == 0) return;
+// Ends a call and notifies its user. Every call that is not cancelled ends here.
+void EndpointCalls::Finish(const CallPtr& active, CallEnd end, Micros retry_after) {
+  if (calls_.erase(active->id) == 0) return;
   const bool unanswered = end == CallEnd::kRefused || end == CallEnd::kFailed;
-  if (unanswered && live->failure && !live->head_told) {
-    const HttpResponse failure = *std::exchange(live->failure, std::nullopt);
-    calls_[live->id] = live;
-    return HandOver(live, failure);
+  if (unanswered && active->failed_response && !active->head_reported) {
+    const HttpResponse failed_response = *std::exchange(active->failed_response, std::nullopt);
+    calls_[active->id] = active;
+    return DeliverResponse(active, failed_response);
   }
   CallSummary summary;
-  summary.end = unanswered && live->head_told ? CallEnd::kBroken : end;
-  summary.status = live->status;
-  summary.may_have_run = live->ran > 0 || summary.end == CallEnd::kComplete;
+  summary.end = unanswered && active->head_reported ? CallEnd::kBroken : end;
+  summary.status = active->status;
+  summary.may_have_run = active->possible_runs > 0 || summary.end == CallEnd::kComplete;
   if (retry_after > 0) summary.retry_after_s = static_cast<double>(retry_after) / 1e6;
-  if (!live->starting) return live->user->OnEnd(summary);
-  calls_[live->id] = live;  // Until it is told, it can be cancelled.
-  loop_.Post([this, live, summary] {
-    if (calls_.erase(live->id) != 0) live->user->OnEnd(summary);
+  if (!active->starting) return active->user->OnEnd(summary);
+  calls_[active->id] = active;  // The user can still cancel it before OnEnd.
+  loop_.Post([this, active, summary] {
+    if (calls_.erase(active->id) != 0) active->user->OnEnd(summary);
   });
 }
 
--- a/src/tier/proxy/endpoint_calls.h
+++ b/src/tier/proxy/endpoint_calls.h
@@ -1,9 +1,10 @@
-// Calls over the decision module and the connections to endpoints.
+// Implements Calls with the decision module and the connections to endpoints.
 //
-// The module says where each attempt goes; this carries it out, tells it what came of it, and joins
-// the attempts of one call into one answer. It holds one attempt of a call at a time. What bounds
-// it: Shape::most_held calls (the module refuses more), ActiveCall::kMostSends sends a call,
-// kHeldAnswer bytes of an answer that is held whole, EventStream::kLongestEvent of one event.
+// The module decides where each attempt of a call is sent. EndpointCalls sends it, reports the
+// outcome to the module, and combines the attempts of a call into one response. A call has at most
+// one attempt at a time. Limits: Shape::most_held calls (the module refuses more),
+// ActiveCall::kMaxSends sends per call, kMaxBufferedResponseBytes of a response that is buffered
+// completely, EventStream::kMaxEventBytes per event.
 #ifndef SHELFLINK_TIER_PROXY_ENDPOINT_CALLS_H_
 #define SHELFLINK_TIER_PROXY_ENDPOINT_CALLS_H_
 
@@ -35,7 +36,8 @@
     std::string zone;
     std::uint64_t seed = 0;
     std::size_t max_calls = 4096;
-    std::function<ListState()> list_state = {};  // Empty: nothing is known of the list's age.
+    // State of the endpoint list; empty: its age is not checked.
+    std::function<ListState()> list_state = {};
   };
 
   EndpointCalls(net::Loop& loop, kelpspring::Log& log, kelpspring::SocketBudget& budget,
@@ -44,7 +46,7 @@
   EndpointCalls(const EndpointCalls&) = delete;
   EndpointCalls& operator=(const EndpointCalls&) = delete;
 
-  // The view has changed in any of its parts; what did not change costs little.
+  // Applies a new cluster view. Unchanged parts of the view cost little.
   void OnView(const cluster::View& view);
 
   policy::CallId Start(CallRequest request, CallUser& user) override;
@@ -53,19 +55,20 @@
   std::uint32_t BatchCapacity() const override;
   policy::BatchState batch() const { return module_.batch(); }
 
-  // Tokens of calls at endpoints and of calls that wait, by service.
+  // Prompt and maximum output tokens of calls.
   struct Load {
-    std::uint64_t running = 0;
-    std::uint64_t waiting = 0;
+    std::uint64_t running = 0;  // Of calls at endpoints.
+    std::uint64_t waiting = 0;  // Of queued calls.
   };
+  // Load by service.
   std::map<std::string, Load> Loads() const;
 
-  std::size_t held() const { return calls_.size(); }
+  std::size_t active_calls() const { return calls_.size(); }
   std::uint64_t dials() const { return upstream_.dials(); }
 
  private:
   using CallPtr = std::shared_ptr<ActiveCall>;
-  // What the module decided, carried out once it has returned.
+  // A decision of the module. Executed after the module has returned.
   struct Decision {
     enum class Kind { kSend, kRefuse, kFail } kind = Kind::kFail;
     policy::CallId call = 0;
@@ -95,31 +98,33 @@
                                const kelpspring::HttpResponse& head) const;
 
   CallPtr Find(policy::CallId call) const;
-  CallPtr FindAttempt(kelpspring::AttemptKey key) const;  // Null unless it is the present one.
-  policy::Call DescriptionOf(const ActiveCall& live, policy::CallId call) const;
+  // Null unless it is the call's current attempt.
+  CallPtr FindAttempt(kelpspring::AttemptKey key) const;
+  policy::Call DescriptionOf(const ActiveCall& active, policy::CallId call) const;
 
-  void CarryOut();
+  void ExecuteDecisions();
   void StartAttempt(const Decision& decision);
-  bool IsForbidden(ActiveCall& live) const;
+  bool IsSendForbidden(ActiveCall& active) const;
   ListState ListStateNow() const;
-  void CheckList(const ActiveCall& live, const KnownEndpoint& known) const;
-  void CheckDraining(const ActiveCall& live) const;
+  void CheckListFreshness(const ActiveCall& active, const KnownEndpoint& known) const;
+  void CheckNotDraining(const ActiveCall& active) const;
   void EndAttempt(kelpspring::AttemptKey key, kelpspring::Answer answer);
-  void EndUnsent(const CallPtr& live, kelpspring::AttemptKey key, policy::Outcome outcome);
-  void EndBroken(const CallPtr& live, kelpspring::AttemptKey key, policy::Outcome outcome);
-  void EndStream(const CallPtr& live, kelpspring::AttemptKey key);
-  void EndAnswered(const CallPtr& live, kelpspring::AttemptKey key,
-                   kelpspring::HttpResponse message);
-  bool CanMove(const ActiveCall& live, kelpspring::AttemptKey key) const;
-  void TellHead(const CallPtr& live, const kelpspring::HttpResponse& head,
-                std::optional<std::uint64_t> length);
-  void TellPendingHead(const CallPtr& live);  // Of a stream, where it has not been told.
-  bool TellEvents(const CallPtr& live, kelpspring::AttemptKey key, std::string_view part);
-  void HandOver(const CallPtr& live, kelpspring::HttpResponse message);
-  void NoteHeard(ActiveCall& live);
-  void NoteLoad(const ActiveCall& live, const kelpspring::HttpResponse& head);
-  void Tell(kelpspring::AttemptKey key, policy::Outcome outcome, bool again);
-  void Finish(const CallPtr& live, CallEnd end, policy::Micros retry_after = 0);
+  void EndNotRun(const CallPtr& active, kelpspring::AttemptKey key, policy::Outcome outcome);
+  void FailAttempt(const CallPtr& active, kelpspring::AttemptKey key, policy::Outcome outcome);
+  void CompleteStream(const CallPtr& active, kelpspring::AttemptKey key);
+  void CompleteResponse(const CallPtr& active, kelpspring::AttemptKey key,
+                        kelpspring::HttpResponse message);
+  bool CanFailOver(const ActiveCall& active, kelpspring::AttemptKey key) const;
+  void ReportHead(const CallPtr& active, const kelpspring::HttpResponse& head,
+                  std::optional<std::uint64_t> length);
+  // Reports the head of a stream if that has not been done yet.
+  void ReportPendingHead(const CallPtr& active);
+  bool ForwardEvents(const CallPtr& active, kelpspring::AttemptKey key, std::string_view part);
+  void DeliverResponse(const CallPtr& active, kelpspring::HttpResponse message);
+  void RecordActivity(ActiveCall& active);
+  void ReportLoad(const ActiveCall& active, const kelpspring::HttpResponse& head);
+  void ReportOutcome(kelpspring::AttemptKey key, policy::Outcome outcome, bool retry);
+  void Finish(const CallPtr& active, CallEnd end, policy::Micros retry_after = 0);
 
   net::Loop& loop_;
   kelpspring::Log& log_;
@@ -132,7 +137,7 @@
   policy::CallId last_call_ = 0;
   std::unordered_map<policy::CallId, CallPtr> calls_;
   std::deque<Decision> decisions_;
-  bool carrying_out_ = false;
+  bool executing_decisions_ = false;
 };
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/endpoint_registry.cpp
+++ b/src/tier/proxy/endpoint_registry.cpp
@@ -2,43 +2,44 @@
 
 namespace shelflink::proxy {
 
-void EndpointRegistry::Take(const cluster::EndpointList& list) {
+void EndpointRegistry::ApplyList(const cluster::EndpointList& list) {
   std::unordered_set<std::string> listed;
   for (const cluster::EndpointEntry& entry : list.entries) {
     listed.insert(entry.id);
     KnownEndpoint& known = known_[entry.id];
     if (known.number == 0) {
       known.number = ++last_number_;
-      NoteListedAgain(entry.id);
+      DiscardRemoval(entry.id);
     }
     known.address = entry.address;
-    if (entry.draining) seen_draining_.insert(entry.id);
-    known.draining = SeenDraining(entry.id);
+    if (entry.draining) draining_ids_.insert(entry.id);
+    known.draining = WasDraining(entry.id);
     upstream_.SetEndpoint(known.number, known.address, known.takes_requests(), 0);
   }
   for (auto it = known_.begin(); it != known_.end();) {
-    const auto present = it++;
-    if (listed.contains(present->first)) continue;
-    upstream_.Forget(present->second.number);
-    RememberDeparted(present->first);
-    known_.erase(present);
+    const auto current = it++;
+    if (listed.contains(current->first)) continue;
+    upstream_.Forget(current->second.number);
+    RecordRemoval(current->first);
+    known_.erase(current);
   }
 }
 
-// It would stand among the departed twice once it leaves again, and be forgotten with the first.
-void EndpointRegistry::NoteListedAgain(const std::string& id) {
-  if (SeenDraining(id)) std::erase(departed_, id);
+// Otherwise the id would be in the queue twice after its next removal, and be dropped with the
+// first entry.
+void EndpointRegistry::DiscardRemoval(const std::string& id) {
+  if (WasDraining(id)) std::erase(removed_draining_ids_, id);
 }
 
-void EndpointRegistry::RememberDeparted(const std::string& id) {
-  if (!SeenDraining(id)) return;
-  departed_.push_back(id);
-  if (departed_.size() <= kMostDeparted) return;
-  seen_draining_.erase(departed_.front());
-  departed_.pop_front();
+void EndpointRegistry::RecordRemoval(const std::string& id) {
+  if (!WasDraining(id)) return;
+  removed_draining_ids_.push_back(id);
+  if (removed_draining_ids_.size() <= kMaxRemovedDrainingIds) return;
+  draining_ids_.erase(removed_draining_ids_.front());
+  removed_draining_ids_.pop_front();
 }
 
-std::map<std::string, policy::ServiceInfo> EndpointRegistry::Services(
+std::map<std::string, policy::ServiceInfo> EndpointRegistry::ServiceInfos(
     const configuration::Configuration* configuration, const cluster::EndpointList* list,
     policy::Micros now) const {
   std::map<std::string, policy::ServiceInfo> services;
@@ -52,10 +53,10 @@
   if (list != nullptr) {
     for (const cluster::EndpointEntry& entry : list->entries) {
       const KnownEndpoint* known = Find(entry.id);
-      const bool takes = known != nullptr && known->takes_requests();
-      const auto cold = std::chrono::duration_cast<std::chrono::microseconds>(entry.cold_left);
+      const bool takes_requests = known != nullptr && known->takes_requests();
+      const auto cold_left = std::chrono::duration_cast<std::chrono::microseconds>(entry.cold_left);
       services[entry.service].endpoints.push_back(
-          {entry.id, entry.zone, entry.slots, !takes, now + cold.count(), false});
+          {entry.id, entry.zone, entry.slots, !takes_requests, now + cold_left.count(), false});
     }
   }
   for (auto& [name, info] : services) info.name = name;
@@ -67,17 +68,17 @@
   return it == known_.end() ? nullptr : &it->second;
 }
 
-KnownEndpoint* EndpointRegistry::FindKnown(const std::string& id) {
+KnownEndpoint* EndpointRegistry::FindMutable(const std::string& id) {
   const auto it = known_.find(id);
   return it == known_.end() ? nullptr : &it->second;
 }
 
-void EndpointRegistry::NoteHeard(const std::string& id, net::Time now) {
-  if (KnownEndpoint* known = FindKnown(id)) known->heard = now;
+void EndpointRegistry::RecordActivity(const std::string& id, net::Time now) {
+  if (KnownEndpoint* known = FindMutable(id)) known->last_activity = now;
 }
 
-void EndpointRegistry::NoteMisdirected(const std::string& id) {
-  KnownEndpoint* known = FindKnown(id);
+void EndpointRegistry::MarkMisdirected(const std::string& id) {
+  KnownEndpoint* known = FindMutable(id);
   if (known == nullptr) return;
   known->misdirected = true;
   upstream_.SetEndpoint(known->number, known->address, false, 0);
--- a/src/tier/proxy/event_stream.cpp
+++ b/src/tier/proxy/event_stream.cpp
@@ -7,7 +7,7 @@
 namespace shelflink::proxy {
 namespace {
 
-// Takes a line off the front of the text, without its end.
+// Removes the first line from `text` and returns it without its line end.
 std::string_view NextLine(std::string_view& text) {
   const std::size_t end = text.find('\n');
   std::string_view line = text.substr(0, end);
@@ -16,7 +16,7 @@
   return line;
 }
 
-// The value of a field where the line is one of that name.
+// The value of the line's field if the field has that name.
 std::optional<std::string_view> FieldValue(std::string_view line, std::string_view name) {
   if (line.substr(0, name.size()) != name) return std::nullopt;
   line.remove_prefix(name.size());
@@ -30,7 +30,7 @@
 std::optional<std::uint64_t> IdOf(std::string_view event) {
   std::optional<std::uint64_t> id;
   while (!event.empty()) {
-    if (const auto value = FieldValue(NextLine(event), "id")) id = WholeNumber(*value);
+    if (const auto value = FieldValue(NextLine(event), "id")) id = ParseUnsigned(*value);
   }
   return id;
 }
@@ -47,8 +47,8 @@
   return data;
 }
 
-// Blank lines and comments only, as they keep a connection alive.
-bool SaysNothing(std::string_view event) {
+// Whether the event has only blank lines and comments, which endpoints send as keep-alives.
+bool IsKeepAlive(std::string_view event) {
   while (!event.empty()) {
     const std::string_view line = NextLine(event);
     if (!line.empty() && line.front() != ':') return false;
@@ -59,73 +59,73 @@
 }  // namespace
 
 std::size_t EventStream::EventLength(std::string_view text) {
-  std::size_t at = 0;
-  while (at < text.size()) {
-    const std::size_t end = text.find('\n', at);
+  std::size_t position = 0;
+  while (position < text.size()) {
+    const std::size_t end = text.find('\n', position);
     if (end == text.npos) return 0;
-    const bool blank = end == at || (end == at + 1 && text[at] == '\r');
-    at = end + 1;
-    if (blank) return at;
+    const bool blank = end == position || (end == position + 1 && text[position] == '\r');
+    position = end + 1;
+    if (blank) return position;
   }
   return 0;
 }
 
-EventStream::Verdict EventStream::Judge(std::optional<std::uint64_t> id) {
+EventStream::Verdict EventStream::CheckOrder(std::optional<std::uint64_t> id) {
   if (!id) {
-    numbered_ = false;
-    // Of a further run it cannot be told where it belongs.
-    return joined_ ? Verdict::kGap : Verdict::kGoesOn;
+    all_have_ids_ = false;
+    // In a resumed run the position of an event without an id is unknown.
+    return resumed_ ? Verdict::kGap : Verdict::kForward;
   }
-  if (joined_ && last_id_) {
-    if (*id <= *last_id_) return Verdict::kDropped;
-    if (dense_ && *id != *last_id_ + 1) return Verdict::kGap;
+  if (resumed_ && last_id_) {
+    if (*id <= *last_id_) return Verdict::kDuplicate;
+    if (ids_consecutive_ && *id != *last_id_ + 1) return Verdict::kGap;
   }
-  if (last_id_ && events_ > 0 && *id != *last_id_ + 1) dense_ = false;
+  if (last_id_ && events_ > 0 && *id != *last_id_ + 1) ids_consecutive_ = false;
   last_id_ = id;
-  return Verdict::kGoesOn;
+  return Verdict::kForward;
 }
 
-EventStream::Taken EventStream::Take(std::string_view bytes,
-                                     const std::function<void(const Event&)>& on_event) {
+EventStream::Output EventStream::Feed(std::string_view bytes,
+                                      const std::function<void(const Event&)>& on_event) {
   buffer_.erase(0, consumed_);
   buffer_.append(bytes);
   consumed_ = 0;
-  kept_.clear();
+  filtered_.clear();
   const std::string_view text = buffer_;
-  bool dropped = false;
-  Taken taken;
+  bool has_duplicates = false;
+  Output output;
   while (const std::size_t length = EventLength(text.substr(consumed_))) {
     const std::string_view event = text.substr(consumed_, length);
-    if (SaysNothing(event)) {
+    if (IsKeepAlive(event)) {
       consumed_ += length;
-      if (dropped) kept_.append(event);
+      if (has_duplicates) filtered_.append(event);
       continue;
     }
     const auto id = IdOf(event);
-    const Verdict verdict = Judge(id);
+    const Verdict verdict = CheckOrder(id);
     if (verdict == Verdict::kGap) {
-      taken.broken = true;
+      output.broken = true;
       break;
     }
-    if (verdict == Verdict::kDropped && !std::exchange(dropped, true)) {
-      kept_.assign(text.substr(0, consumed_));
+    if (verdict == Verdict::kDuplicate && !std::exchange(has_duplicates, true)) {
+      filtered_.assign(text.substr(0, consumed_));
     }
     consumed_ += length;
-    if (verdict == Verdict::kDropped) continue;
-    if (dropped) kept_.append(event);
-    ++taken.events;
+    if (verdict == Verdict::kDuplicate) continue;
+    if (has_duplicates) filtered_.append(event);
+    ++output.events;
     ++events_;
     if (on_event) on_event({id, DataOf(event)});
   }
-  taken.bytes = dropped ? std::string_view(kept_) : text.substr(0, consumed_);
-  if (buffer_.size() - consumed_ > kLongestEvent) taken.broken = true;
-  return taken;
+  output.bytes = has_duplicates ? std::string_view(filtered_) : text.substr(0, consumed_);
+  if (buffer_.size() - consumed_ > kMaxEventBytes) output.broken = true;
+  return output;
 }
 
-void EventStream::Rejoin() {
+void EventStream::BeginResumedRun() {
   buffer_.clear();
   consumed_ = 0;
-  joined_ = events_ > 0;
+  resumed_ = events_ > 0;
 }
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/event_stream.h
+++ b/src/tier/proxy/event_stream.h
@@ -1,8 +1,8 @@
-// The body of a text/event-stream answer, taken as it comes and given on in whole events, over one
-// run at an endpoint or several that continue one another. Pure.
+// Parser for the body of a text/event-stream response: takes bytes as they arrive and returns
+// complete events. Joins the runs of a stream that is resumed at other endpoints. Pure.
 //
-// No more of an event is understood than its id and, where somebody wants it, its data; its bytes
-// are never made anew. An event that is longer than kLongestEvent breaks the stream.
+// Reads only the id of an event and, on request, its data; events are forwarded byte for byte. An
+// event longer than kMaxEventBytes breaks the stream.
 #ifndef SHELFLINK_TIER_PROXY_EVENT_STREAM_H_
 #define SHELFLINK_TIER_PROXY_EVENT_STREAM_H_
 
@@ -18,44 +18,45 @@
 
 class EventStream {
  public:
-  static constexpr std::size_t kLongestEvent = 1 << 20;
+  static constexpr std::size_t kMaxEventBytes = 1 << 20;
 
-  struct Taken {
-    std::string_view bytes;    // Of whole events; there until the next call.
-    std::uint32_t events = 0;  // In them.
-    bool broken = false;       // What comes must not go on: a gap, or an event without end.
+  struct Output {
+    std::string_view bytes;    // Complete events to forward; valid until the next call.
+    std::uint32_t events = 0;  // Number of events in `bytes`.
+    bool broken = false;       // A gap or an oversized event: nothing more may be forwarded.
   };
 
-  // The stream is to begin behind that event.
+  // The stream is expected to start after the event `last_id`.
   explicit EventStream(std::optional<std::uint64_t> last_id = std::nullopt) : last_id_(last_id) {}
 
-  // `on_event` may be empty; else it is told each whole event that goes on.
-  Taken Take(std::string_view bytes, const std::function<void(const Event&)>& on_event = nullptr);
-  // What came behind the last whole event.
-  std::string_view rest() const { return std::string_view(buffer_).substr(consumed_); }
-  // The run has broken and another continues behind last_id(): what is not whole is dropped, and of
-  // what comes the events that have gone on already.
-  void Rejoin();
-  // Whether another run could continue it so that nothing is missing or comes twice.
-  bool CanRejoin() const { return events_ == 0 || numbered_; }
+  // Adds received bytes. `on_event` is called for each complete event that is forwarded; it may be
+  // empty.
+  Output Feed(std::string_view bytes, const std::function<void(const Event&)>& on_event = nullptr);
+  // Bytes received after the last complete event.
+  std::string_view incomplete_event() const { return std::string_view(buffer_).substr(consumed_); }
+  // The run has broken off and another one continues after last_id(). Drops the incomplete event;
+  // events of the new run that have already been forwarded will be dropped too.
+  void BeginResumedRun();
+  // Whether another run could continue the stream without missing or repeated events.
+  bool CanResume() const { return events_ == 0 || all_have_ids_; }
   std::optional<std::uint64_t> last_id() const { return last_id_; }
   std::uint64_t events() const { return events_; }
 
  private:
-  enum class Verdict { kGoesOn, kDropped, kGap };
+  enum class Verdict { kForward, kDuplicate, kGap };
 
-  // Length of the whole event at the front of the text, its blank line included; 0: not whole.
+  // Length of the complete event at the start of `text` with its blank line; 0 if it is incomplete.
   static std::size_t EventLength(std::string_view text);
-  Verdict Judge(std::optional<std::uint64_t> id);
+  Verdict CheckOrder(std::optional<std::uint64_t> id);
 
-  std::string buffer_;  // What is not whole, behind `consumed_` bytes that are done with.
+  std::string buffer_;  // `consumed_` bytes that have been returned, then the incomplete event.
   std::size_t consumed_ = 0;
-  std::string kept_;  // Events that go on, where others between them were dropped.
+  std::string filtered_;  // Events to forward, if duplicates between them were dropped.
   std::optional<std::uint64_t> last_id_;
   std::uint64_t events_ = 0;
-  bool numbered_ = true;  // Every event had an id.
-  bool dense_ = true;     // Ids rose by one each time.
-  bool joined_ = false;   // A further run.
+  bool all_have_ids_ = true;
+  bool ids_consecutive_ = true;
+  bool resumed_ = false;  // The current run continues an earlier one.
 };
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/header_names.h
+++ b/src/tier/proxy/header_names.h
@@ -1,4 +1,4 @@
-// Names of the headers that the proxy reads or sets, see PROTOCOL.
+// Names of the HTTP headers that the proxy reads or sets, see PROTOCOL.
 #ifndef SHELFLINK_TIER_PROXY_HEADER_NAMES_H_
 #define SHELFLINK_TIER_PROXY_HEADER_NAMES_H_
 
@@ -18,7 +18,7 @@
 constexpr const char* kLastEventIdHeader = "Last-Event-Id";
 constexpr const char* kPriorityHeader = "Priority";
 constexpr const char* kExpectVersionHeader = "Expect-Version";
-constexpr const char* kProtocolHeaderPrefix = "Shelflink-";  // Of the protocol's own headers.
+constexpr const char* kProtocolHeaderPrefix = "Shelflink-";  // Common to the protocol's headers.
 constexpr const char* kRetryAfterHeader = "Retry-After";
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/headers.h
+++ b/src/tier/proxy/headers.h
@@ -1,4 +1,4 @@
-// Headers of requests and answers: what is passed on, and what their values say. Pure.
+// Headers of requests and responses: which are forwarded, and parsing of their values. Pure.
 #ifndef SHELFLINK_TIER_PROXY_HEADERS_H_
 #define SHELFLINK_TIER_PROXY_HEADERS_H_
 
@@ -13,28 +13,30 @@
 
 namespace shelflink::proxy {
 
-// What of a client's request goes on to an endpoint: all but what concerns one connection (by name
-// or because Connection names it), the body's framing, keys, and what the proxy itself sets.
+// Headers of a client's request that are forwarded to an endpoint: all except hop-by-hop headers
+// (known ones and those listed in Connection), the body's framing, credentials, and headers that
+// the proxy itself sets.
 HeaderList RequestHeaders(const kelpspring::HttpRequest& request);
-// What of an endpoint's answer goes back: all but what concerns one connection and the framing.
-HeaderList ResponseHeaders(const kelpspring::HttpResponse& answer);
+// Headers of an endpoint's response that are forwarded to the client: all except hop-by-hop headers
+// and the body's framing.
+HeaderList ResponseHeaders(const kelpspring::HttpResponse& response);
 
-// The longest name or value that a message holds: Beast throws where one needs more than 16 bits.
-constexpr std::size_t kLongestField = 65000;
-// Whether a header of a batch item may be sent: not of one connection, not the proxy's own, nothing
-// in it that could end the line, and not too long.
-bool MayBeSent(std::string_view name, std::string_view value);
+// Limit for the name and for the value of a header: Beast throws if a length exceeds 16 bits.
+constexpr std::size_t kMaxFieldBytes = 65000;
+// Whether a header of a batch item may be sent: it is not a hop-by-hop header, is not set by the
+// proxy, has no characters that could end the header line, and is at most kMaxFieldBytes long.
+bool IsAllowedItemHeader(std::string_view name, std::string_view value);
 
-// Digits and nothing else.
-std::optional<std::uint64_t> WholeNumber(std::string_view text);
+// Parses a decimal number that consists of digits only.
+std::optional<std::uint64_t> ParseUnsigned(std::string_view text);
 
 struct TokenCount {
   std::uint32_t prompt = 0;
-  std::uint32_t most_out = 0;
+  std::uint32_t max_output = 0;
 };
-// "1460,80"; zeros for what cannot be read.
+// Parses e.g. "1460,80" (prompt, maximum output). A number that cannot be parsed becomes 0.
 TokenCount ParseTokenCount(std::string_view text);
-// "5c1e07a2:800,91bd3f06:410": the parts up to the first that cannot be read.
+// Parses e.g. "5c1e07a2:800,91bd3f06:410" (id:tokens). Stops at the first invalid part.
 std::vector<policy::PromptPart> ParsePromptPrefix(std::string_view text);
 
 struct ServerLoad {
@@ -42,10 +44,10 @@
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
 };
-// "3,0,8"
+// Parses e.g. "3,0,8" (running, waiting, slots); none if it is invalid.
 std::optional<ServerLoad> ParseServerLoad(std::string_view text);
 
-// The value of the header in the list, case ignored; empty: none.
+// Value of the first header with that name, ignoring case; empty if there is none.
 std::string_view ValueOf(const HeaderList& headers, std::string_view name);
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/http_frontend.cpp
+++ b/src/tier/proxy/http_frontend.cpp
@@ -24,35 +24,35 @@
 
 namespace http = boost::beast::http;
 
-// The platform needs two missed checks, a second apart, to send no more new connections.
-constexpr auto kPlatformNotices = milliseconds(2500);
-// Clients keep within the limits by their own clocks; what the way takes comes on top.
-constexpr auto kWaySlack = milliseconds(500);
-constexpr std::size_t kLargestHead = 65536;
-// What is configured beyond that is no limit to any client.
-constexpr std::size_t kLargestHeaderLimit = std::size_t{1} << 30;
-constexpr double kNotReadyRetryAfter = 0.25;
-constexpr double kNoRoomRetryAfter = 0.5;
+// The platform stops sending new connections after two failed checks, one second apart.
+constexpr auto kPlatformDetectionTime = milliseconds(2500);
+// Added to the limits, which clients measure by their own clocks, for the network latency.
+constexpr auto kNetworkSlack = milliseconds(500);
+constexpr std::size_t kInitialMaxHeaderBytes = 65536;
+// A larger configured limit is reduced to this, which no client reaches.
+constexpr std::size_t kMaxHeaderLimitBytes = std::size_t{1} << 30;
+constexpr double kNotReadyRetryAfterS = 0.25;
+constexpr double kNoMemoryRetryAfterS = 0.5;
 
 kelpspring::ServerTerms TermsOf(const configuration::ClientLimits& limits, milliseconds grace) {
   kelpspring::ServerTerms terms;
   terms.health_path.clear();
   terms.header_limit =
-      static_cast<std::uint32_t>(std::min(limits.max_header_bytes, kLargestHeaderLimit));
+      static_cast<std::uint32_t>(std::min(limits.max_header_bytes, kMaxHeaderLimitBytes));
   terms.body_limit = limits.max_body_bytes;
   terms.first_span.reset();
-  terms.request_span = limits.header_timeout + kWaySlack;
+  terms.request_span = limits.header_timeout + kNetworkSlack;
   terms.rest_span = limits.idle_timeout;
-  terms.drain_window = std::min(kPlatformNotices, grace / 3);
+  terms.drain_window = std::min(kPlatformDetectionTime, grace / 3);
   terms.leave_half_read = grace / 2;
   terms.folded_headers = false;
   terms.break_by_reset = false;
   return terms;
 }
 
-HttpResponse Refusal(std::optional<double> retry_after) {
-  HttpResponse response = kelpspring::PlainText(http::status::service_unavailable,
-                                                "has not run and will not: try again\n");
+HttpResponse UnavailableResponse(std::optional<double> retry_after) {
+  HttpResponse response =
+      kelpspring::PlainText(http::status::service_unavailable, "not executed; try again later\n");
   if (retry_after) {
     std::array<char, 32> text{};
     const int length = std::snprintf(text.data(), text.size(), "%.3f", *retry_after);
@@ -61,7 +61,7 @@
   return response;
 }
 
-HttpResponse HeadOf(int status, const HeaderList& headers) {
+HttpResponse ResponseHeadOf(int status, const HeaderList& headers) {
   HttpResponse head{http::int_to_status(static_cast<unsigned>(status)), 11};
   if (head.result() == http::status::unknown) head.result(static_cast<unsigned>(status));
   for (const auto& [name, value] : headers) head.insert(name, value);
@@ -70,71 +70,72 @@
 
 }  // namespace
 
-// Until a configuration tells the limits, nothing is turned away for its size: all of it gets 503.
-configuration::ClientLimits LimitsBeforeConfiguration() {
+// Limits before the first configuration: no request is rejected for its size, all of them get 503.
+configuration::ClientLimits InitialLimits() {
   configuration::ClientLimits limits;
-  limits.max_header_bytes = kLargestHead;
+  limits.max_header_bytes = kInitialMaxHeaderBytes;
   limits.max_body_bytes = kelpspring::kLargestBody;
   return limits;
 }
 
-// What the client will still wait. A fraction of a millisecond does not count.
-std::optional<milliseconds> ClientWait(const HttpRequest& request) {
-  constexpr std::uint64_t kLongest = 86'400'000;
+// How long the client will wait, from its deadline header. A fraction of a millisecond is ignored.
+std::optional<milliseconds> ClientTimeout(const HttpRequest& request) {
+  constexpr std::uint64_t kMaxMs = 86'400'000;
   const std::string_view text = View(request[kDeadlineHeader]);
-  const auto wait = WholeNumber(text.substr(0, text.find('.')));
+  const auto wait = ParseUnsigned(text.substr(0, text.find('.')));
   if (!wait) return std::nullopt;
-  return milliseconds(std::min(*wait, kLongest));
+  return milliseconds(std::min(*wait, kMaxMs));
 }
 
-// One request of a client, from its call to the end of its answer.
+// One request of a client, from the start of its call to the end of the response.
 class HttpFrontend::Exchange final : public CallUser {
  public:
-  Exchange(HttpFrontend& front, ClientPtr client, std::string tenant, net::Time due,
+  Exchange(HttpFrontend& frontend, ClientPtr client, std::string tenant, net::Time deadline,
            std::uint64_t body)
-      : front_(front),
+      : frontend_(frontend),
         client_(std::move(client)),
         tenant_(std::move(tenant)),
-        due_(due),
-        body_(body) {
-    front_.called_bodies_ += body_;
+        deadline_(deadline),
+        body_size_(body) {
+    frontend_.call_body_bytes_ += body_size_;
   }
-  ~Exchange() { front_.called_bodies_ -= body_; }
+  ~Exchange() { frontend_.call_body_bytes_ -= body_size_; }
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
 
-  // False: its client has gone meanwhile.
+  // Starts the call. Returns false if the client has disconnected meanwhile.
   bool Start(CallRequest request) {
-    client_->OnGone([this] { Gone(); });
+    client_->OnGone([this] { OnClientGone(); });
     started_ = false;
-    call_ = front_.wiring_.calls.Start(std::move(request), *this);
+    call_ = frontend_.wiring_.calls.Start(std::move(request), *this);
     started_ = true;
-    if (gone_) front_.wiring_.calls.Cancel(call_);
-    return !gone_;
+    if (client_gone_) frontend_.wiring_.calls.Cancel(call_);
+    return !client_gone_;
   }
 
  private:
-  void Gone() {
-    gone_ = true;
+  void OnClientGone() {
+    client_gone_ = true;
     if (!started_) return;
-    front_.wiring_.calls.Cancel(call_);
-    front_.Ended(this);
+    frontend_.wiring_.calls.Cancel(call_);
+    frontend_.RemoveExchange(this);
   }
 
-  // Nothing is sent for a client that has left, also if this process stood still meanwhile and its
-  // end has not been read. Finding that out ends this exchange.
+  // Returns false if the client has disconnected, even if the process was suspended and has not
+  // read the close of the connection yet. Detecting the close destroys this exchange.
   bool MaySend() override {
     const ClientPtr client = client_;
     return !client->HasLeft();
   }
 
   void OnHead(int status, const HeaderList& headers, std::optional<std::uint64_t> length) override {
-    client_->Begin(HeadOf(status, headers), length, [this] { front_.wiring_.calls.Resume(call_); });
+    client_->Begin(ResponseHeadOf(status, headers), length,
+                   [this] { frontend_.wiring_.calls.Resume(call_); });
   }
 
   bool OnBody(std::string_view bytes) override {
-    if (!std::exchange(counted_, true)) CountUse();
-    const ClientPtr client = client_;  // Its end would end this.
+    if (!std::exchange(usage_counted_, true)) CountUsage();
+    const ClientPtr client = client_;  // This exchange may be destroyed during Part.
     return client->Part(bytes);
   }
 
@@ -142,36 +143,38 @@
 
   void OnEnd(const CallSummary& summary) override {
     const ClientPtr client = client_;
-    const net::Time due = due_;
-    HttpFrontend& front = front_;
-    front.Ended(this);
+    const net::Time deadline = deadline_;
+    HttpFrontend& frontend = frontend_;
+    frontend.RemoveExchange(this);
     switch (summary.end) {
       case CallEnd::kComplete:
         return client->EndBody();
       case CallEnd::kBroken:
         return client->Break();
       case CallEnd::kRefused:
-        return client->Respond(Refusal(summary.retry_after_s));
+        return client->Respond(UnavailableResponse(summary.retry_after_s));
       case CallEnd::kFailed:
         break;
     }
-    const bool late = front.loop_.Now() >= due;
-    client->RespondPlain(late ? 504 : 502, late ? "no answer in time\n" : "no usable answer\n");
+    const bool timed_out = frontend.loop_.Now() >= deadline;
+    client->RespondPlain(timed_out ? 504 : 502, timed_out
+                                                    ? "timed out waiting for the endpoint\n"
+                                                    : "no valid response from the endpoint\n");
   }
 
-  void CountUse() {
-    if (!tenant_.empty() && front_.wiring_.count_use) front_.wiring_.count_use(tenant_);
+  void CountUsage() {
+    if (!tenant_.empty() && frontend_.wiring_.count_usage) frontend_.wiring_.count_usage(tenant_);
   }
 
-  HttpFrontend& front_;
+  HttpFrontend& frontend_;
   ClientPtr client_;
   std::string tenant_;
-  net::Time due_;
-  std::uint64_t body_;  // Its bytes.
+  net::Time deadline_;
+  std::uint64_t body_size_;  // Bytes of the request's body.
   policy::CallId call_ = 0;
-  bool counted_ = false;
+  bool usage_counted_ = false;
   bool started_ = false;
-  bool gone_ = false;
+  bool client_gone_ = false;
 };
 
 HttpFrontend::HttpFrontend(net::Loop& loop, kelpspring::Log& log, net::ListenerPtr listener,
@@ -180,20 +183,20 @@
     : loop_(loop),
       wiring_(std::move(wiring)),
       grace_(grace),
-      most_bodies_(memory / 4),
+      max_body_bytes_(memory / 4),
       server_(
           loop, log, std::move(listener), budget, drain, [] { return true; },
-          // A body is taken whole, up to the limit, before anything is decided; one that would not
-          // fit into memory comes as a part and is refused.
+          // A body is read completely, up to the limit, before the request is handled. A body that
+          // does not fit into memory is passed on incomplete and refused.
           [this] {
-            const bool room = server_.body_bytes() + called_bodies_ < most_bodies_;
-            return room ? UINT64_MAX : kelpspring::kHeldBody;
+            const bool fits = server_.body_bytes() + call_body_bytes_ < max_body_bytes_;
+            return fits ? UINT64_MAX : kelpspring::kHeldBody;
           },
           [this](const ClientPtr& client, HttpRequest request, kelpspring::Arrival arrival) {
-            if (!arrival.whole) return client->Respond(Refusal(kNoRoomRetryAfter));
+            if (!arrival.whole) return client->Respond(UnavailableResponse(kNoMemoryRetryAfterS));
             OnRequest(client, std::move(request), arrival.began);
           },
-          TermsOf(LimitsBeforeConfiguration(), grace)) {
+          TermsOf(InitialLimits(), grace)) {
   server_.Open();
 }
 
@@ -204,12 +207,13 @@
   if (!configuration_) return;
   levels_ = PriorityLevels(*configuration_);
   kelpspring::ServerTerms terms = TermsOf(configuration_->limits, grace_);
-  terms.longest_arrival = [this](const auto& head) { return LongestArrival(head); };
+  terms.longest_arrival = [this](const auto& head) { return MaxArrivalTime(head); };
   server_.SetTerms(std::move(terms));
 }
 
-// A request whose body is still coming when its route's time is over is answered then.
-std::optional<milliseconds> HttpFrontend::LongestArrival(
+// A request whose body is still being received when its route's timeout expires gets its response
+// then.
+std::optional<milliseconds> HttpFrontend::MaxArrivalTime(
     const http::request_header<http::fields>& head) const {
   const kelpspring::Target target = kelpspring::Split(View(head.target()));
   const std::string_view host =
@@ -219,10 +223,10 @@
   return route->timeout;
 }
 
-// The exchange exists no more after this.
-void HttpFrontend::Ended(Exchange* exchange) { exchanges_.erase(exchange); }
+// Destroys the exchange.
+void HttpFrontend::RemoveExchange(Exchange* exchange) { exchanges_.erase(exchange); }
 
-// Jobs are read and ended by paths of their own, under the host of a batch route.
+// Jobs are read and ended under their own paths on the host of a batch route.
 const Route* HttpFrontend::BatchRouteOf(std::string_view host, std::string_view path) const {
   if (!IsBatchJobPath(path)) return nullptr;
   for (const Route& route : configuration_->routes) {
@@ -235,31 +239,31 @@
 }
 
 void HttpFrontend::OnRequest(const ClientPtr& client, HttpRequest request, net::Time began) {
-  if (!configuration_) return client->Respond(Refusal(kNotReadyRetryAfter));
+  if (!configuration_) return client->Respond(UnavailableResponse(kNotReadyRetryAfterS));
   const kelpspring::Target target = kelpspring::Split(View(request.target()));
   const std::string_view path = kelpspring::PathOf(target.origin);
   if (request.count(http::field::host) != 1 || path.empty() || path.front() != '/') {
-    return client->Reject(400, "expected one Host and an absolute path\n");
+    return client->Reject(400, "expected exactly one Host header and an absolute path\n");
   }
   const std::string_view host =
       target.authority.empty() ? View(request[http::field::host]) : target.authority;
   const Route* route = configuration_->FindRoute(host, path);
   if (route == nullptr) route = BatchRouteOf(host, path);
-  if (route == nullptr) return client->RespondPlain(404, "no route\n");
+  if (route == nullptr) return client->RespondPlain(404, "no matching route\n");
   const Tenant* tenant = nullptr;
   if (configuration_->has_tenants && !route->is_public) {
     if (request.count(kCredentialHeader) == 1) {
       tenant = configuration_->TenantOfKey(View(request[kCredentialHeader]));
     }
-    if (tenant == nullptr) return client->RespondPlain(401, "unknown key\n");
+    if (tenant == nullptr) return client->RespondPlain(401, "unknown API key\n");
   }
   if (route->kind != RouteKind::kBatch) {
     return StartCall(client, std::move(request), *route, tenant, began);
   }
-  if (wiring_.batch == nullptr) return client->Respond(Refusal(kNotReadyRetryAfter));
+  if (wiring_.batch == nullptr) return client->Respond(UnavailableResponse(kNotReadyRetryAfterS));
   const BatchCaller caller{configuration_, route, tenant == nullptr ? "" : tenant->name,
                            loop_.Now()};
-  AnswerBatchRequest(client, std::move(request), caller, *wiring_.batch);
+  HandleBatchRequest(client, std::move(request), caller, *wiring_.batch);
 }
 
 void HttpFrontend::StartCall(const ClientPtr& client, HttpRequest request, const Route& route,
@@ -279,23 +283,24 @@
   call.configuration = configuration_;
   call.route = &route;
   if (tenant != nullptr) call.tenant = tenant->name;
-  const bool ranked = tenant != nullptr && tenant->priority;
-  call.level = levels_.Of(ranked ? *tenant->priority : route.priority);
+  const bool has_tenant_priority = tenant != nullptr && tenant->priority;
+  call.level = levels_.LevelOf(has_tenant_priority ? *tenant->priority : route.priority);
   call.resumable = route.kind == RouteKind::kStreaming && route.resumable;
-  // All spans count from the request's first byte: its body may have come slowly.
-  call.began = began;
-  net::Time due = began + route.timeout;
-  if (const auto wait = ClientWait(request)) {
-    call.due = began + *wait;
-    due = std::min(due, *call.due);
+  // All times count from the request's first byte: its body may have been received slowly.
+  call.timeout_start = began;
+  net::Time deadline = began + route.timeout;
+  if (const auto wait = ClientTimeout(request)) {
+    call.deadline = began + *wait;
+    deadline = std::min(deadline, *call.deadline);
   }
   if (call.resumable) {
-    call.last_event_id = WholeNumber(View(request[kLastEventIdHeader]));
+    call.last_event_id = ParseUnsigned(View(request[kLastEventIdHeader]));
   }
-  auto exchange = std::make_unique<Exchange>(*this, client, call.tenant, due, call.body.size());
-  Exchange& started = *exchange;
-  exchanges_.emplace(&started, std::move(exchange));
-  if (!started.Start(std::move(call))) Ended(&started);
+  auto exchange =
+      std::make_unique<Exchange>(*this, client, call.tenant, deadline, call.body.size());
+  Exchange& added = *exchange;
+  exchanges_.emplace(&added, std::move(exchange));
+  if (!added.Start(std::move(call))) RemoveExchange(&added);
 }
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/outgoing_request.cpp
+++ b/src/tier/proxy/outgoing_request.cpp
@@ -13,23 +13,26 @@
 
 namespace {
 
-constexpr std::uint32_t kLeastUrgent = 9;  // Of an endpoint's priorities.
-// Clients give a stream up after a silence of these, whichever is longest.
-constexpr auto kLeastSilence = milliseconds(2000);
-constexpr int kSilentObjectives = 4;
-constexpr int kSilentGaps = 8;
-constexpr auto kShortestFailoverSilence = milliseconds(1000);
-constexpr int kFailoverGaps = 5;
+constexpr std::uint32_t kLowestEndpointPriority =
+    9;  // Endpoints have priorities 0 (most urgent) to 9.
+// Clients abandon a stream after the longest of these: kMinClientSilence, this many times the
+// route's latency objective, this many times its target gap between events.
+constexpr auto kMinClientSilence = milliseconds(2000);
+constexpr int kClientSilenceObjectives = 4;
+constexpr int kClientSilenceGaps = 8;
+constexpr auto kMinFailoverSilence = milliseconds(1000);
+constexpr int kFailoverSilenceGaps = 5;
 
 }  // namespace
 
 milliseconds ClientSilence(const Route& route) {
-  return std::max({kLeastSilence, kSilentObjectives * route.slo, kSilentGaps * route.gap_aim});
+  return std::max({kMinClientSilence, kClientSilenceObjectives * route.slo,
+                   kClientSilenceGaps * route.gap_aim});
 }
 
 milliseconds FailoverSilence(const Route& route) {
   return std::min(ClientSilence(route),
-                  std::max(kShortestFailoverSilence, kFailoverGaps * route.gap_aim));
+                  std::max(kMinFailoverSilence, kFailoverSilenceGaps * route.gap_aim));
 }
 
 std::uint64_t HashOf(std::string_view text) {
@@ -40,21 +43,21 @@
   return gaugecart::Mix(hash);
 }
 
-const std::string& ServiceOf(const Route& route, std::string_view request_id) {
+const std::string& ChooseService(const Route& route, std::string_view request_id) {
   double sum = 0;
   for (const auto& part : route.split) sum += part.weight;
-  double left = gaugecart::Unit(HashOf(request_id)) * sum;
+  double remaining = gaugecart::Unit(HashOf(request_id)) * sum;
   const std::string* service = &route.split.front().service;
   for (const auto& part : route.split) {
     if (part.weight <= 0) continue;
     service = &part.service;
-    left -= part.weight;
-    if (left < 0) break;
+    remaining -= part.weight;
+    if (remaining < 0) break;
   }
   return *service;
 }
 
-bool IsTarget(std::string_view target) {
+bool IsValidTarget(std::string_view target) {
   return !target.empty() && target.front() == '/' &&
          std::none_of(target.begin(), target.end(),
                       [](char c) { return static_cast<unsigned char>(c) <= 0x20 || c == 0x7f; });
@@ -66,15 +69,16 @@
   message.method_string(request.method);
   message.target(request.target);
   for (const auto& [name, value] : request.headers) {
-    if (!request.batch || MayBeSent(name, value)) message.insert(name, value);
+    if (!request.batch || IsAllowedItemHeader(name, value)) message.insert(name, value);
   }
   if (message.find(boost::beast::http::field::host) == message.end()) {
     message.set(boost::beast::http::field::host, request.route->hostname);
   }
   message.set(kRequestIdHeader, request.request_id);
   if (!request.tenant.empty()) message.set(kTenantHeader, request.tenant);
-  const auto rank = request.batch ? kLeastUrgent : std::min(request.level, kLeastUrgent - 1);
-  message.set(kPriorityHeader, std::to_string(rank));
+  const auto priority = request.batch ? kLowestEndpointPriority
+                                      : std::min(request.level, kLowestEndpointPriority - 1);
+  message.set(kPriorityHeader, std::to_string(priority));
   if (request.last_event_id) {
     message.set(kLastEventIdHeader, std::to_string(*request.last_event_id));
   }
--- a/src/tier/proxy/outgoing_request.h
+++ b/src/tier/proxy/outgoing_request.h
@@ -1,5 +1,5 @@
-// A call as it goes out: its message, the service that takes it, and how long it may be waited for.
-// Pure.
+// Builds the request that is sent to endpoints, chooses the service, and computes how long an
+// endpoint may be silent. Pure.
 #ifndef SHELFLINK_TIER_PROXY_OUTGOING_REQUEST_H_
 #define SHELFLINK_TIER_PROXY_OUTGOING_REQUEST_H_
 
@@ -14,19 +14,20 @@
 
 namespace shelflink::proxy {
 
-// The message, but for what each send sets anew; the request's body moves into it.
+// Builds the message except for the headers that each send sets. Moves the body out of `request`.
 kelpspring::HttpRequest OutgoingMessage(CallRequest& request);
-// Whether it can stand in a request line: a path from the root, without blanks.
-bool IsTarget(std::string_view target);
-// Which of the route's services takes the call: by weight, always the same for one request.
-const std::string& ServiceOf(const configuration::Route& route, std::string_view request_id);
-// Equal for equal texts at every start.
+// Whether `target` is valid in a request line: it starts with '/' and has no space or control
+// character.
+bool IsValidTarget(std::string_view target);
+// Chooses one of the route's services by weight; deterministic for a request id.
+const std::string& ChooseService(const configuration::Route& route, std::string_view request_id);
+// Hash that is stable across processes.
 std::uint64_t HashOf(std::string_view text);
 
-// After such a silence clients give a stream of the route up.
+// Silence after which clients abandon a stream of the route.
 std::chrono::milliseconds ClientSilence(const configuration::Route& route);
-// After such a silence a stream that may be continued elsewhere is, if its endpoint has fallen
-// silent for all.
+// Silence after which a resumable stream is continued at another endpoint, if its endpoint is
+// silent on all calls.
 std::chrono::milliseconds FailoverSilence(const configuration::Route& route);
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/policy_feed.cpp
+++ b/src/tier/proxy/policy_feed.cpp
@@ -18,19 +18,19 @@
 }  // namespace
 
 void PolicyFeed::OnView(policy::Micros now, const cluster::View& view) {
-  const bool fresh_configuration = view.configuration != configuration_;
-  const bool fresh_list = view.endpoints != list_;
-  const bool fresh_members = view.members != members_;
+  const bool configuration_changed = view.configuration != configuration_;
+  const bool list_changed = view.endpoints != list_;
+  const bool members_changed = view.members != members_;
   configuration_ = view.configuration;
   list_ = view.endpoints;
   members_ = view.members;
-  bool fresh_owners = false;
-  if (fresh_configuration || fresh_members) fresh_owners = TellShape(now, view);
-  if (fresh_list && list_) registry_.Take(*list_);
-  if (fresh_configuration || fresh_list || fresh_owners) TellServices(now);
+  bool owners_changed = false;
+  if (configuration_changed || members_changed) owners_changed = UpdateShape(now, view);
+  if (list_changed && list_) registry_.ApplyList(*list_);
+  if (configuration_changed || list_changed || owners_changed) UpdateServices(now);
 }
 
-bool PolicyFeed::TellShape(policy::Micros now, const cluster::View& view) {
+bool PolicyFeed::UpdateShape(policy::Micros now, const cluster::View& view) {
   if (view.configuration) levels_ = PriorityLevels(*view.configuration);
   policy::Shape shape;
   shape.node = options_.node;
@@ -41,21 +41,21 @@
   if (view.members) ready = ReadyProxies(*view.members);
   shape.sidecars = static_cast<std::uint32_t>(std::max<std::size_t>(1, ready.size()));
   module_.OnShape(now, shape);
-  // Who knows of no other does not take itself for the only one: after a loss of power many begin
-  // so, and each of them would send batch calls to every endpoint.
+  // A proxy that knows no member does not assume that it is the only one: after a power loss many
+  // proxies start in this state, and each of them would send batch calls to every endpoint.
   return batch_owners_.SetSidecars(std::move(ready));
 }
 
-void PolicyFeed::TellServices(policy::Micros now) {
-  auto services = registry_.Services(configuration_.get(), list_.get(), now);
-  for (auto it = services_.begin(); it != services_.end();) {
-    const auto present = it++;
-    if (services.contains(*present)) continue;
-    module_.OnServiceGone(now, *present);
-    services_.erase(present);
+void PolicyFeed::UpdateServices(policy::Micros now) {
+  auto services = registry_.ServiceInfos(configuration_.get(), list_.get(), now);
+  for (auto it = known_services_.begin(); it != known_services_.end();) {
+    const auto current = it++;
+    if (services.contains(*current)) continue;
+    module_.OnServiceGone(now, *current);
+    known_services_.erase(current);
   }
   for (auto& [name, info] : services) {
-    services_.insert(name);
+    known_services_.insert(name);
     for (policy::EndpointInfo& endpoint : info.endpoints) {
       endpoint.runs_batch = batch_owners_.Owns(options_.node, endpoint.id, endpoint.zone);
     }
--- a/src/tier/proxy/policy_feed.h
+++ b/src/tier/proxy/policy_feed.h
@@ -1,5 +1,5 @@
-// What the decision module is told of the cluster's view: the levels and sidecars that there are,
-// the services and their endpoints. Tells only what has changed.
+// Passes the cluster view to the decision module: priority levels, number of proxies, services and
+// their endpoints. Only changes are passed on.
 #ifndef SHELFLINK_TIER_PROXY_POLICY_FEED_H_
 #define SHELFLINK_TIER_PROXY_POLICY_FEED_H_
 
@@ -28,18 +28,19 @@
       : module_(module), registry_(registry), options_(std::move(options)) {}
 
   void OnView(policy::Micros now, const cluster::View& view);
-  // The registry's endpoints have changed.
-  void TellServices(policy::Micros now);
+  // Passes on the services after a change of the registry's endpoints.
+  void UpdateServices(policy::Micros now);
   const PriorityLevels& levels() const { return levels_; }
 
  private:
-  // Returns whether the owners of endpoints for batch calls have changed.
-  bool TellShape(policy::Micros now, const cluster::View& view);
+  // Passes on levels and proxies. Returns whether the assignment of endpoints to the proxies that
+  // may send them batch calls has changed.
+  bool UpdateShape(policy::Micros now, const cluster::View& view);
 
   policy::Module& module_;
   EndpointRegistry& registry_;
   Options options_;
-  std::unordered_set<std::string> services_;  // That the module knows.
+  std::unordered_set<std::string> known_services_;  // Services that the module has been given.
   std::shared_ptr<const configuration::Configuration> configuration_;
   std::shared_ptr<const cluster::EndpointList> list_;
   std::shared_ptr<const cluster::Members> members_;
--- a/src/tier/proxy/priority_levels.h
+++ b/src/tier/proxy/priority_levels.h
@@ -11,6 +11,7 @@
 
 namespace shelflink::proxy {
 
+// Maps configured priorities to consecutive levels; level 0 is the most urgent one.
 class PriorityLevels {
  public:
   PriorityLevels() = default;
@@ -25,14 +26,15 @@
     priorities_.erase(std::unique(priorities_.begin(), priorities_.end()), priorities_.end());
   }
 
-  std::uint32_t count() const { return batch() + 1; }
-  std::uint32_t batch() const {
+  std::uint32_t count() const { return batch_level() + 1; }
+  std::uint32_t batch_level() const {
     return static_cast<std::uint32_t>(std::max<std::size_t>(1, priorities_.size()));
   }
-  // Of a client's request; a priority that the configuration does not name takes the next one.
-  std::uint32_t Of(int priority) const {
+  // Level of a client's request. A priority that is not in the configuration gets the level of the
+  // next less urgent one, at most the last level before the batch level.
+  std::uint32_t LevelOf(int priority) const {
     const auto at = std::lower_bound(priorities_.begin(), priorities_.end(), priority);
-    return std::min(static_cast<std::uint32_t>(at - priorities_.begin()), batch() - 1);
+    return std::min(static_cast<std::uint32_t>(at - priorities_.begin()), batch_level() - 1);
   }
 
  private:
--- a/src/tier/proxy/program.cpp
+++ b/src/tier/proxy/program.cpp
@@ -152,7 +152,7 @@
     figures.lease_remaining = std::max(agent.lease_until() - now, net::Span::zero());
     figures.drain_bound = settings.bounds.drain;
     NoteView(figures, now);
-    figures.calls = calls.held();
+    figures.calls = calls.active_calls();
     figures.endpoint_connections = calls.dials();
     figures.batch = calls.batch();
     figures.batch_room = calls.BatchCapacity();
@@ -230,7 +230,7 @@
     done = std::move(when_done);
     TellReady();
     runner.Drain([this] { PartLeft(); });
-    front.Leave([this] { PartLeft(); });
+    front.Shutdown([this] { PartLeft(); });
   }
   void PartLeft() {
     if (--parts_to_leave > 0) return;
--- a/src/tier/proxy/response_classifier.cpp
+++ b/src/tier/proxy/response_classifier.cpp
@@ -15,8 +15,8 @@
 
 constexpr unsigned kMisdirectedRequest = 421;
 
-// These promise that the request never ran.
-bool IsPromise(unsigned status) {
+// Statuses that promise the client that the request was not executed.
+bool PromisesNotRun(unsigned status) {
   return status == 429 || status == 503 || status == 408 || status == kMisdirectedRequest;
 }
 
@@ -36,9 +36,10 @@
     return {OutcomeCode::kFull, AnswerUse::kHold};
   }
   const bool success = status / 100 == 2;
-  // Without the id it may belong to anybody, without the stamp it is no endpoint's success, and a
-  // promise that the endpoint did not mean must not be passed on.
-  if (id.empty() || (success && head[kResponseStampHeader].empty()) || IsPromise(status)) {
+  // Without an id the response may belong to another request. A success without a stamp was not
+  // produced by an endpoint. A status that promises non-execution is only valid with kNotRunHeader
+  // or 421, which were handled above, and must not reach the client.
+  if (id.empty() || (success && head[kResponseStampHeader].empty()) || PromisesNotRun(status)) {
     return {OutcomeCode::kError, AnswerUse::kHold};
   }
   const bool stream = success && expected.may_stream && IsEventStream(head);
--- a/src/tier/proxy/response_classifier.h
+++ b/src/tier/proxy/response_classifier.h
@@ -1,4 +1,4 @@
-// What an endpoint's answer means, by its head. Pure.
+// Classifies an endpoint's response by its head. Pure.
 #ifndef SHELFLINK_TIER_PROXY_RESPONSE_CLASSIFIER_H_
 #define SHELFLINK_TIER_PROXY_RESPONSE_CLASSIFIER_H_
 
@@ -9,17 +9,19 @@
 
 namespace shelflink::proxy {
 
-// What the answer was asked for.
+// The request that the response has to match.
 struct ExpectedResponse {
   std::string_view request_id;
-  bool may_stream = false;  // Whether its route's answers are streams of events.
+  bool may_stream = false;  // The route's responses are event streams.
 };
 
-// kOk: to be passed on. kFull: the endpoint did not run the request. kError: it may have run, and
-// there is nothing to pass on. An answer with another id belongs to another request.
+// kOk: forward the response. kFull: the endpoint did not execute the request. kError: the request
+// may have been executed, and the response must not be forwarded. A response with another request
+// id belongs to another request and is skipped.
 kelpspring::Reading ClassifyResponseHead(const ExpectedResponse& expected,
                                          const kelpspring::HttpResponse& head);
 
+// Whether the content type is text/event-stream.
 bool IsEventStream(const kelpspring::HttpResponse& head);
 
 }  // namespace shelflink::proxy
--- a/tests/fuzz/tier_listeners.cpp
+++ b/tests/fuzz/tier_listeners.cpp
@@ -79,7 +79,8 @@
   odd->Disconnect();
   good->Disconnect();
   world.Run(kWhole);
-  if (world.calls.held() + world.front.clients() > 0) throw Breach("something is left at rest");
+  if (world.calls.active_calls() + world.front.clients() > 0)
+    throw Breach("something is left at rest");
 }
 
 namespace {
@@ -250,7 +251,8 @@
   client->Disconnect();
   next->Disconnect();
   world.Run(kWhole);
-  if (world.calls.held() + world.front.clients() > 0) throw Breach("something is left at rest");
+  if (world.calls.active_calls() + world.front.clients() > 0)
+    throw Breach("something is left at rest");
 }
 
 }  // namespace fuzz
--- a/tests/tier/batch/item_output_test.cpp
+++ b/tests/tier/batch/item_output_test.cpp
@@ -126,7 +126,7 @@
       "event: token\nretry: 5\nid: 3\ndata: three\n\n";
   // In pieces of any length.
   for (std::size_t at = 0; at < bytes.size(); at += 3) {
-    stream.Take(bytes.substr(at, 3),
+    stream.Feed(bytes.substr(at, 3),
                 [&](const proxy::Event& event) { BOOST_TEST(output.Take(event)); });
   }
   BOOST_TEST(output.all().text == "one\ntwo\nand more\nthree");
--- a/tests/tier/batch/item_run_test.cpp
+++ b/tests/tier/batch/item_run_test.cpp
@@ -91,7 +91,7 @@
   BOOST_TEST(request.batch);
   BOOST_TEST(request.resumable);
   BOOST_TEST(!request.last_event_id.has_value());
-  BOOST_TEST(!request.due.has_value());
+  BOOST_TEST(!request.deadline.has_value());
   BOOST_TEST(request.route == &configuration->routes[0]);
   BOOST_REQUIRE_EQUAL(request.headers.size(), 2U);
   BOOST_TEST(request.headers[0].first == "Host");
--- a/tests/tier/proxy/calls_test.cpp
+++ b/tests/tier/proxy/calls_test.cpp
@@ -202,7 +202,7 @@
     fixture.Run(milliseconds(500));
     BOOST_TEST(user.ends.empty());
     BOOST_TEST(user.events.size() == (at_head ? 0U : 1U));
-    BOOST_TEST(fixture.calls.held() == 0U);
+    BOOST_TEST(fixture.calls.active_calls() == 0U);
     BOOST_TEST(endpoint.disconnects == 1U);
   }
 }
--- a/tests/tier/proxy/cut_requests_test.cpp
+++ b/tests/tier/proxy/cut_requests_test.cpp
@@ -98,7 +98,7 @@
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     BOOST_TEST_CONTEXT("cut at " << cut) { BOOST_TEST(ServedOf(fixture, text, cut) == uncut); }
   }
-  BOOST_TEST(fixture.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
 }  // namespace
--- a/tests/tier/proxy/endpoint_test.cpp
+++ b/tests/tier/proxy/endpoint_test.cpp
@@ -293,7 +293,7 @@
   client->Disconnect();
   fixture.Run(milliseconds(50));
   BOOST_TEST(endpoint.disconnects == 1U);
-  BOOST_TEST(fixture.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
 // ---- What stands before, behind and in place of an answer ----
--- a/tests/tier/proxy/exchange_table_test.cpp
+++ b/tests/tier/proxy/exchange_table_test.cpp
@@ -316,7 +316,7 @@
         BOOST_TEST(!exchange.connection().open());
         exchange.fixture.Run(milliseconds(1000));
         BOOST_TEST(exchange.SentElsewhere() == 0U);
-        BOOST_TEST(exchange.fixture.calls.held() == 0U);
+        BOOST_TEST(exchange.fixture.calls.active_calls() == 0U);
       }
     }
   }
@@ -336,7 +336,7 @@
   client->Disconnect();
   fixture.Run(milliseconds(1000));
   BOOST_TEST(endpoint.requests.empty());
-  BOOST_TEST(fixture.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(what_comes_on_an_idle_connection_ends_it) {
--- a/tests/tier/proxy/front_test.cpp
+++ b/tests/tier/proxy/front_test.cpp
@@ -268,7 +268,7 @@
   fixture.Run(milliseconds(20));
   bool done = false;
   fixture.drain.Leave(false);
-  fixture.front.Leave([&] { done = true; });
+  fixture.front.Shutdown([&] { done = true; });
   fixture.Run(milliseconds(2000));
   auto late = fixture.SendRequest(Request("/stream/a", "01"));  // The platform has not noticed yet.
   half->Send("cde");
--- a/tests/tier/proxy/live_rules_test.cpp
+++ b/tests/tier/proxy/live_rules_test.cpp
@@ -193,7 +193,7 @@
   BOOST_TEST(endpoint.disconnects == 0U);
   fixture.Run(milliseconds(600));
   BOOST_TEST(endpoint.disconnects == 1U);
-  BOOST_TEST(fixture.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(silence_alone_does_not_end_a_stream) {
@@ -253,7 +253,7 @@
       fixture.process.SetPaused(false);
       fixture.Run(milliseconds(500));
       BOOST_TEST(endpoint.requests.size() == 1U);
-      BOOST_TEST(fixture.calls.held() == 0U);
+      BOOST_TEST(fixture.calls.active_calls() == 0U);
     }
   }
 }
--- a/tests/tier/proxy/long_fields_test.cpp
+++ b/tests/tier/proxy/long_fields_test.cpp
@@ -88,7 +88,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_may_be_sent_is_what_a_message_holds) {
-  BOOST_TEST(proxy::MayBeSent("X-A", std::string(proxy::kLongestField, 'x')));
-  BOOST_TEST(!proxy::MayBeSent("X-A", std::string(proxy::kLongestField + 1, 'x')));
-  BOOST_TEST(!proxy::MayBeSent(std::string(proxy::kLongestField + 1, 'x'), "x"));
+  BOOST_TEST(proxy::IsAllowedItemHeader("X-A", std::string(proxy::kMaxFieldBytes, 'x')));
+  BOOST_TEST(!proxy::IsAllowedItemHeader("X-A", std::string(proxy::kMaxFieldBytes + 1, 'x')));
+  BOOST_TEST(!proxy::IsAllowedItemHeader(std::string(proxy::kMaxFieldBytes + 1, 'x'), "x"));
 }
--- a/tests/tier/proxy/mutants.cmake
+++ b/tests/tier/proxy/mutants.cmake
@@ -39,9 +39,9 @@
   a_request_on_a_dead_idle_connection_is_sent_again_only_where_it_may_be
   tier/proxy/endpoint_calls.cpp
   [=[    case OutcomeCode::kReset:
-      return EndBroken(live, key, Outcome::kReset);]=]
+      return FailAttempt(active, key, Outcome::kReset);]=]
   [=[    case OutcomeCode::kReset:
-      return EndUnsent(live, key, Outcome::kNeverSent);]=])
+      return EndNotRun(active, key, Outcome::kNeverSent);]=])
 proxy_mutant(a_reset_ends_an_answer exchange_table
   an_answer_without_length_is_whole_by_an_end_and_not_by_a_reset
   sidecar/upstream.cpp
@@ -53,7 +53,8 @@
   tier/proxy/http_frontend.cpp [=[return !client->HasLeft();]=] [=[return true;]=])
 proxy_mutant(a_deadline_counts_from_the_last_byte live_rules
   the_time_left_counts_from_the_requests_first_byte
-  tier/proxy/http_frontend.cpp [=[call.due = began + *wait;]=] [=[call.due = loop_.Now() + *wait;]=])
+  tier/proxy/http_frontend.cpp [=[call.deadline = began + *wait;]=]
+  [=[call.deadline = loop_.Now() + *wait;]=])
 proxy_mutant(a_client_that_does_not_read_holds_for_ever live_rules
   a_client_that_does_not_read_holds_nothing_beyond_the_routes_time
   sidecar/upstream.cpp
@@ -65,22 +66,22 @@
   [=[timer_->ArmAt(paced_end);]=])
 proxy_mutant(silence_ends_a_stream live_rules silence_alone_does_not_end_a_stream
   tier/proxy/endpoint_calls.cpp
-  [=[if (!alive && (live->request.batch || CanMove(*live, key))) return std::nullopt;]=]
-  [=[if (!alive) return std::nullopt;]=])
+  [=[if (!responsive && (active->request.batch || CanFailOver(*active, key))) return std::nullopt;]=]
+  [=[if (!responsive) return std::nullopt;]=])
 proxy_mutant(half_an_event_is_whole live_rules
   a_stream_without_chunks_that_ends_inside_an_event_is_not_whole
   tier/proxy/endpoint_calls.cpp
-  [=[  if (!rest.empty() && live->ends_with_connection) return EndBroken(live, key, Outcome::kReset);]=]
+  [=[  if (!partial.empty() && active->ends_at_close) return FailAttempt(active, key, Outcome::kReset);]=]
   "")
 proxy_mutant(half_an_event_is_kept_over_a_resumption live_rules
   versions_pass_in_heads_and_events_also_over_a_resumption
   tier/proxy/event_stream.cpp
   [=[  buffer_.clear();
   consumed_ = 0;
-  joined_]=] [=[  joined_]=])
+  resumed_]=] [=[  resumed_]=])
 proxy_mutant(connection_drops_the_protocols_headers live_rules
   the_protocols_headers_pass_whatever_connection_names
-  tier/proxy/headers.cpp [=[!IsOfProtocol(name) && ]=] "")
+  tier/proxy/headers.cpp [=[!IsProtocolHeader(name) && ]=] "")
 
 # The list of endpoints while control stands still.
 proxy_mutant(a_list_counts_as_published_once_it_is_read stale_list
@@ -92,15 +93,15 @@
 proxy_mutant(draining_endpoints_become_ready_again stale_list
   what_was_seen_draining_stays_draining
   tier/proxy/endpoint_registry.cpp
-  [=[known.draining = SeenDraining(entry.id);]=] [=[known.draining = entry.draining;]=])
+  [=[known.draining = WasDraining(entry.id);]=] [=[known.draining = entry.draining;]=])
 proxy_mutant(departed_endpoints_are_forgotten_at_once stale_list
   what_was_seen_draining_stays_draining_beyond_its_end
   tier/proxy/endpoint_registry.cpp
-  [=[    RememberDeparted(present->first);]=] [=[    seen_draining_.erase(present->first);]=])
+  [=[    RecordRemoval(current->first);]=] [=[    draining_ids_.erase(current->first);]=])
 proxy_mutant(what_is_listed_again_stays_among_the_departed stale_list
   what_was_seen_draining_and_is_listed_again_is_not_forgotten_with_the_departed
   tier/proxy/endpoint_registry.cpp
-  [=[  if (SeenDraining(id)) std::erase(departed_, id);]=] "")
+  [=[  if (WasDraining(id)) std::erase(removed_draining_ids_, id);]=] "")
 proxy_mutant(connections_are_not_told_of_drains stale_list
   a_send_to_what_was_seen_draining_is_a_violation
   tier/proxy/endpoint_registry.cpp
@@ -147,13 +148,13 @@
 proxy_mutant(items_go_by_any_list stale_list
   a_send_by_a_stale_list_is_a_violation_and_items_wait_for_a_renewal
   tier/proxy/endpoint_calls.cpp
-  [=[  return live.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);]=]
+  [=[  return active.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);]=]
   [=[  return !RequestsMayGo(list);]=])
 proxy_mutant(requests_go_by_any_list stale_list
   a_send_by_a_stale_list_is_a_violation_and_items_wait_for_a_renewal
   tier/proxy/endpoint_calls.cpp
-  [=[  return live.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);]=]
-  [=[  return live.request.batch && !ItemsMayGo(list);]=])
+  [=[  return active.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);]=]
+  [=[  return active.request.batch && !ItemsMayGo(list);]=])
 proxy_mutant(a_silent_call_for_the_list_is_waited_for stale_list
   a_drain_binds_soon_after_a_platform_that_was_silent_answers_again
   tier/platform/list_poller.cpp
--- a/tests/tier/proxy/mutation_test.cpp
+++ b/tests/tier/proxy/mutation_test.cpp
@@ -72,7 +72,7 @@
       "POST /keyed/b HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 0c0d\r\n"
       "Shelflink-Credential: key-2\r\nContent-Length: 0\r\n\r\n";
   for (const std::string& mutation : Mutations(text)) CheckClientMessage(fixture, mutation + next);
-  BOOST_TEST(fixture.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(clients_requests_in_chunks) {
@@ -97,7 +97,7 @@
       fixture.Run(milliseconds(10));
     }
   }
-  BOOST_TEST(fixture.calls.held() == 0U);
+  BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
 namespace {
--- a/tests/tier/proxy/parts_test.cpp
+++ b/tests/tier/proxy/parts_test.cpp
@@ -14,10 +14,10 @@
 BOOST_AUTO_TEST_CASE(token_counts_and_prompts) {
   const auto count = proxy::ParseTokenCount("1460,80");
   BOOST_TEST(count.prompt == 1460U);
-  BOOST_TEST(count.most_out == 80U);
+  BOOST_TEST(count.max_output == 80U);
   BOOST_TEST(proxy::ParseTokenCount("").prompt == 0U);
   BOOST_TEST(proxy::ParseTokenCount("-1,99999999999").prompt == 0U);
-  BOOST_TEST(proxy::ParseTokenCount("7").most_out == 0U);
+  BOOST_TEST(proxy::ParseTokenCount("7").max_output == 0U);
   const auto parts = proxy::ParsePromptPrefix("5c1e07a2:800,91bd3f06:410");
   BOOST_REQUIRE(parts.size() == 2U);
   BOOST_TEST(parts[0].id == 0x5c1e07a2U);
@@ -39,14 +39,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(headers_of_batch_items) {
-  BOOST_TEST(proxy::MayBeSent("Shelflink-Model", "m"));
-  BOOST_TEST(!proxy::MayBeSent("Shelflink-Tenant", "other"));
-  BOOST_TEST(!proxy::MayBeSent("shelflink-credential", "key"));
-  BOOST_TEST(!proxy::MayBeSent("Content-Length", "3"));
-  BOOST_TEST(!proxy::MayBeSent("transfer-encoding", "chunked"));
-  BOOST_TEST(!proxy::MayBeSent("X-A", "b\r\nX-C: d"));
-  BOOST_TEST(!proxy::MayBeSent("X-A\r\nX-C", "b"));
-  BOOST_TEST(!proxy::MayBeSent("", "b"));
+  BOOST_TEST(proxy::IsAllowedItemHeader("Shelflink-Model", "m"));
+  BOOST_TEST(!proxy::IsAllowedItemHeader("Shelflink-Tenant", "other"));
+  BOOST_TEST(!proxy::IsAllowedItemHeader("shelflink-credential", "key"));
+  BOOST_TEST(!proxy::IsAllowedItemHeader("Content-Length", "3"));
+  BOOST_TEST(!proxy::IsAllowedItemHeader("transfer-encoding", "chunked"));
+  BOOST_TEST(!proxy::IsAllowedItemHeader("X-A", "b\r\nX-C: d"));
+  BOOST_TEST(!proxy::IsAllowedItemHeader("X-A\r\nX-C", "b"));
+  BOOST_TEST(!proxy::IsAllowedItemHeader("", "b"));
 }
 
 BOOST_AUTO_TEST_CASE(one_level_for_each_priority_and_one_for_items) {
@@ -60,11 +60,11 @@
   configuration.tenants[0].priority = 1;
   const proxy::PriorityLevels levels(configuration);
   BOOST_TEST(levels.count() == 4U);
-  BOOST_TEST(levels.Of(0) == 0U);
-  BOOST_TEST(levels.Of(1) == 1U);
-  BOOST_TEST(levels.Of(2) == 2U);
-  BOOST_TEST(levels.Of(9) == 2U);
-  BOOST_TEST(levels.batch() == 3U);
+  BOOST_TEST(levels.LevelOf(0) == 0U);
+  BOOST_TEST(levels.LevelOf(1) == 1U);
+  BOOST_TEST(levels.LevelOf(2) == 2U);
+  BOOST_TEST(levels.LevelOf(9) == 2U);
+  BOOST_TEST(levels.batch_level() == 3U);
   BOOST_TEST(proxy::PriorityLevels().count() == 2U);
 }
 
--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -32,22 +32,22 @@
     EventStream stream;
     std::string out;
     for (std::size_t at = 0; at < text.size(); at += size) {
-      const auto taken = stream.Take(std::string_view(text).substr(at, size));
-      BOOST_TEST(!taken.broken);
-      out += taken.bytes;
+      const auto output = stream.Feed(std::string_view(text).substr(at, size));
+      BOOST_TEST(!output.broken);
+      out += output.bytes;
       BOOST_TEST((out.empty() || out.substr(out.size() - 2) == "\n\n"));
     }
     BOOST_TEST(out == text);
     BOOST_TEST(stream.events() == 6U);
     BOOST_TEST(stream.last_id().value() == 6U);
-    BOOST_TEST(stream.rest().empty());
+    BOOST_TEST(stream.incomplete_event().empty());
   }
 }
 
 BOOST_AUTO_TEST_CASE(events_are_told_with_id_and_data) {
   EventStream stream;
   std::vector<shelflink::proxy::Event> events;
-  stream.Take("id: 4\r\ndata: a\r\ndata:b\r\n\r\ndata\n\n",
+  stream.Feed("id: 4\r\ndata: a\r\ndata:b\r\n\r\ndata\n\n",
               [&](const shelflink::proxy::Event& event) { events.push_back(event); });
   BOOST_REQUIRE(events.size() == 2U);
   BOOST_TEST(events[0].id.value() == 4U);
@@ -58,35 +58,35 @@
 
 BOOST_AUTO_TEST_CASE(a_further_run_joins_without_gap_or_repeat) {
   EventStream stream;
-  stream.Take(Events(1, 3) + "id: 4\nda");
-  stream.Rejoin();
-  const auto repeated = stream.Take(Events(2, 5));
+  stream.Feed(Events(1, 3) + "id: 4\nda");
+  stream.BeginResumedRun();
+  const auto repeated = stream.Feed(Events(2, 5));
   BOOST_TEST(!repeated.broken);
   BOOST_TEST(repeated.bytes == Events(4, 5));
-  stream.Rejoin();
-  BOOST_TEST(stream.Take(Events(7, 7)).broken);
+  stream.BeginResumedRun();
+  BOOST_TEST(stream.Feed(Events(7, 7)).broken);
 }
 
 BOOST_AUTO_TEST_CASE(ids_that_rise_by_more_join_too) {
   EventStream stream;
-  stream.Take("id: 3\ndata: a\n\nid: 8\ndata: b\n\n");
-  stream.Rejoin();
-  const auto taken = stream.Take("id: 8\ndata: b\n\nid: 12\ndata: c\n\n");
-  BOOST_TEST(!taken.broken);
-  BOOST_TEST(taken.bytes == "id: 12\ndata: c\n\n");
+  stream.Feed("id: 3\ndata: a\n\nid: 8\ndata: b\n\n");
+  stream.BeginResumedRun();
+  const auto output = stream.Feed("id: 8\ndata: b\n\nid: 12\ndata: c\n\n");
+  BOOST_TEST(!output.broken);
+  BOOST_TEST(output.bytes == "id: 12\ndata: c\n\n");
 }
 
 BOOST_AUTO_TEST_CASE(events_without_ids_cannot_be_joined) {
   EventStream stream;
-  stream.Take("data: a\n\n");
-  BOOST_TEST(!stream.CanRejoin());
+  stream.Feed("data: a\n\n");
+  BOOST_TEST(!stream.CanBeginResumedRun());
 }
 
 BOOST_AUTO_TEST_CASE(an_event_without_end_breaks) {
   EventStream stream;
   bool broken = false;
   const std::string piece(65536, 'x');
-  for (int n = 0; n < 20 && !broken; ++n) broken = stream.Take(piece).broken;
+  for (int n = 0; n < 20 && !broken; ++n) broken = stream.Feed(piece).broken;
   BOOST_TEST(broken);
 }
 
