--- a/src/tier/proxy/batch_requests.cpp
+++ b/src/tier/proxy/batch_requests.cpp
@@ -89,8 +89,8 @@
   });
 }
 
-void GetPage(const ClientPtr& client, const kelpspring::HttpRequest& request, std::string job,
-             const BatchCaller& caller, BatchJobService& batch) {
+void Poll(const ClientPtr& client, const kelpspring::HttpRequest& request, std::string job,
+          const BatchCaller& caller, BatchJobService& batch) {
   const std::string_view after = QueryValue(View(request.target()), "afterId");
   const auto position = after.empty() ? 0 : ParseUnsigned(after);
   if (!position) return client->RespondPlain(400, "afterId: expected a whole number\n");
@@ -138,13 +138,12 @@
   if (method == http::verb::post && job.empty() && items_job.empty()) {
     return SubmitJob(client, std::move(request), caller, batch);
   }
-  if (method == http::verb::get && !job.empty())
-    return GetPage(client, request, job, caller, batch);
+  if (method == http::verb::get && !job.empty()) return Poll(client, request, job, caller, batch);
   if (method == http::verb::delete_ && !job.empty()) return EndJob(client, job, caller, batch);
   if (method == http::verb::get && !items_job.empty()) {
     return ReadItemBody(client, request, items_job, caller, batch);
   }
-  client->RespondPlain(400, "unsupported method or path for a batch job\n");
+  client->RespondPlain(400, "no such request about a batch job\n");
 }
 
 std::string PageJson(const BatchPage& page, std::uint64_t after) {
--- a/src/tier/proxy/http_frontend.cpp
+++ b/src/tier/proxy/http_frontend.cpp
@@ -51,8 +51,8 @@
 }
 
 HttpResponse UnavailableResponse(std::optional<double> retry_after) {
-  HttpResponse response =
-      kelpspring::PlainText(http::status::service_unavailable, "not executed; try again later\n");
+  HttpResponse response = kelpspring::PlainText(http::status::service_unavailable,
+                                                "has not run and will not: try again\n");
   if (retry_after) {
     std::array<char, 32> text{};
     const int length = std::snprintf(text.data(), text.size(), "%.3f", *retry_after);
@@ -157,9 +157,8 @@
         break;
     }
     const bool timed_out = frontend.loop_.Now() >= deadline;
-    client->RespondPlain(timed_out ? 504 : 502, timed_out
-                                                    ? "timed out waiting for the endpoint\n"
-                                                    : "no valid response from the endpoint\n");
+    client->RespondPlain(timed_out ? 504 : 502,
+                         timed_out ? "no answer in time\n" : "no usable answer\n");
   }
 
   void CountUsage() {
@@ -243,19 +242,19 @@
   const kelpspring::Target target = kelpspring::Split(View(request.target()));
   const std::string_view path = kelpspring::PathOf(target.origin);
   if (request.count(http::field::host) != 1 || path.empty() || path.front() != '/') {
-    return client->Reject(400, "expected exactly one Host header and an absolute path\n");
+    return client->Reject(400, "expected one Host and an absolute path\n");
   }
   const std::string_view host =
       target.authority.empty() ? View(request[http::field::host]) : target.authority;
   const Route* route = configuration_->FindRoute(host, path);
   if (route == nullptr) route = BatchRouteOf(host, path);
-  if (route == nullptr) return client->RespondPlain(404, "no matching route\n");
+  if (route == nullptr) return client->RespondPlain(404, "no route\n");
   const Tenant* tenant = nullptr;
   if (configuration_->has_tenants && !route->is_public) {
     if (request.count(kCredentialHeader) == 1) {
       tenant = configuration_->TenantOfKey(View(request[kCredentialHeader]));
     }
-    if (tenant == nullptr) return client->RespondPlain(401, "unknown API key\n");
+    if (tenant == nullptr) return client->RespondPlain(401, "unknown key\n");
   }
   if (route->kind != RouteKind::kBatch) {
     return StartCall(client, std::move(request), *route, tenant, began);
--- a/src/tier/proxy/outgoing_request.cpp
+++ b/src/tier/proxy/outgoing_request.cpp
@@ -13,13 +13,15 @@
 
 namespace {
 
-constexpr std::uint32_t kLowestEndpointPriority =
-    9;  // Endpoints have priorities 0 (most urgent) to 9.
+// Endpoints accept priorities from 0 (most urgent) to 9.
+constexpr std::uint32_t kLowestEndpointPriority = 9;
 // Clients abandon a stream after the longest of these: kMinClientSilence, this many times the
 // route's latency objective, this many times its target gap between events.
 constexpr auto kMinClientSilence = milliseconds(2000);
 constexpr int kClientSilenceObjectives = 4;
 constexpr int kClientSilenceGaps = 8;
+// FailoverSilence is the longer of kMinFailoverSilence and this many target gaps, but at most
+// ClientSilence.
 constexpr auto kMinFailoverSilence = milliseconds(1000);
 constexpr int kFailoverSilenceGaps = 5;
 
--- a/tests/tier/operator_api/cut_orders_test.cpp
+++ b/tests/tier/operator_api/cut_orders_test.cpp
@@ -27,7 +27,7 @@
 std::ostream& operator<<(std::ostream& out, const Outcome& outcome) {
   out << "{orders:";
   for (const std::string& order : outcome.orders) out << " <" << order << ">";
-  return out << ", answered: " << proxy_test::Shown(outcome.answered)
+  return out << ", answered: " << proxy_test::Printable(outcome.answered)
              << (outcome.ended ? ", ended}" : "}");
 }
 
@@ -79,7 +79,7 @@
     return outcome;
   }
   void CheckCuts(const std::string& text, std::size_t step) {
-    BOOST_TEST_CONTEXT(proxy_test::Shown(text)) {
+    BOOST_TEST_CONTEXT(proxy_test::Printable(text)) {
       const Outcome uncut = Play(text, text.size());
       for (std::size_t cut = 0; cut < text.size(); cut += step) {
         BOOST_TEST_CONTEXT("cut at " << cut) { BOOST_TEST(Play(text, cut) == uncut); }
--- a/tests/tier/proxy/calls_test.cpp
+++ b/tests/tier/proxy/calls_test.cpp
@@ -1,4 +1,5 @@
-// Calls as the batch part uses them: events told, leases asked for, ends told once.
+// EndpointCalls as the batch part uses it: events are reported, the lease is checked before each
+// send, and the end is reported once.
 #define BOOST_TEST_MODULE proxy_calls
 #include <boost/test/unit_test.hpp>
 
@@ -16,11 +17,12 @@
 class User : public proxy::CallUser {
  public:
   bool MaySend() override {
-    ++asked;
-    return lease;
+    ++send_checks;
+    return has_lease;
   }
-  void OnHead(int told, const proxy::HeaderList&, std::optional<std::uint64_t>) override {
-    status = told;
+  void OnHead(int response_status, const proxy::HeaderList&,
+              std::optional<std::uint64_t>) override {
+    status = response_status;
     if (on_head) on_head();
   }
   bool OnBody(std::string_view bytes) override {
@@ -28,14 +30,14 @@
     return true;
   }
   void OnEvent(const proxy::Event& event) override {
-    BOOST_TEST(status == 200);  // The head comes first.
+    BOOST_TEST(status == 200);  // The head is reported first.
     events.push_back(event.data);
     if (on_event) on_event();
   }
   void OnEnd(const proxy::CallSummary& summary) override { ends.push_back(summary); }
 
-  bool lease = true;
-  int asked = 0;
+  bool has_lease = true;
+  int send_checks = 0;
   int status = 0;
   std::string body;
   std::vector<std::string> events;
@@ -44,7 +46,8 @@
   std::function<void()> on_event;
 };
 
-proxy::CallRequest Item(ProxyFixture& fixture, std::optional<std::uint64_t> last = std::nullopt) {
+proxy::CallRequest Item(ProxyFixture& fixture,
+                        std::optional<std::uint64_t> last_event_id = std::nullopt) {
   proxy::CallRequest request;
   request.request_id = "e5b2";
   request.target = "/jobs/3/91c4";
@@ -58,15 +61,15 @@
   request.tenant = "ten";
   request.batch = true;
   request.resumable = true;
-  request.last_event_id = last;
+  request.last_event_id = last_event_id;
   return request;
 }
 
 }  // namespace
 
-// After a loss of power many proxies begin without a list of members. None of them may take itself
-// for the only one that sends batch calls to the endpoints.
-BOOST_AUTO_TEST_CASE(without_a_list_of_members_no_batch_item_is_taken) {
+// After a power loss many proxies start without a list of members. None of them may assume that it
+// is the only one that sends batch calls to the endpoints.
+BOOST_AUTO_TEST_CASE(without_a_list_of_members_no_batch_item_is_started) {
   ProxyFixture fixture;
   fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 3);
@@ -86,7 +89,7 @@
   BOOST_TEST(fixture.calls.BatchCapacity() > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(an_item_runs_as_a_request_of_its_tenant) {
+BOOST_AUTO_TEST_CASE(an_item_is_sent_as_a_request_of_its_tenant) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 3);
@@ -100,17 +103,17 @@
              boost::test_tools::per_element());
   BOOST_REQUIRE(user.ends.size() == 1U);
   BOOST_TEST((user.ends[0].end == proxy::CallEnd::kComplete));
-  const Message& seen = endpoint.requests.front();
-  BOOST_TEST(seen.start_line == "POST /jobs/3/91c4 HTTP/1.1");
-  BOOST_TEST(seen.body == "raw");
-  BOOST_TEST(seen.Value("Shelflink-Tenant") == "ten");
-  BOOST_TEST(seen.Count("Shelflink-Tenant") == 1U);
-  BOOST_TEST(seen.Count("Transfer-Encoding") == 0U);
-  BOOST_TEST(seen.Value("Shelflink-Request-Id") == "e5b2");
-  BOOST_TEST(seen.Value("Priority") == "9");
+  const Message& request = endpoint.requests.front();
+  BOOST_TEST(request.start_line == "POST /jobs/3/91c4 HTTP/1.1");
+  BOOST_TEST(request.body == "raw");
+  BOOST_TEST(request.Value("Shelflink-Tenant") == "ten");
+  BOOST_TEST(request.Count("Shelflink-Tenant") == 1U);
+  BOOST_TEST(request.Count("Transfer-Encoding") == 0U);
+  BOOST_TEST(request.Value("Shelflink-Request-Id") == "e5b2");
+  BOOST_TEST(request.Value("Priority") == "9");
 }
 
-BOOST_AUTO_TEST_CASE(an_item_continues_behind_its_last_event) {
+BOOST_AUTO_TEST_CASE(an_item_resumes_after_its_last_event) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 6);
@@ -127,7 +130,7 @@
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(proxy_test::RespondWith("x"));
   User user;
-  user.lease = false;
+  user.has_lease = false;
   fixture.calls.Start(Item(fixture), user);
   fixture.Run(milliseconds(200));
   BOOST_TEST(endpoint.requests.empty());
@@ -136,16 +139,16 @@
   BOOST_TEST(!user.ends[0].may_have_run);
 }
 
-BOOST_AUTO_TEST_CASE(a_lease_that_ends_while_the_connection_comes_up_counts) {
+BOOST_AUTO_TEST_CASE(a_lease_that_expires_while_connecting_prevents_the_send) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(proxy_test::RespondWith("x"));
-  net::Weather slow;
-  slow.latency_low = slow.latency_high = milliseconds(40);
-  fixture.network.SetWeather(endpoint.process.host(), fixture.process.host(), slow);
+  net::Weather slow_network;
+  slow_network.latency_low = slow_network.latency_high = milliseconds(40);
+  fixture.network.SetWeather(endpoint.process.host(), fixture.process.host(), slow_network);
   User user;
   fixture.calls.Start(Item(fixture), user);
   fixture.Run(milliseconds(40));
-  user.lease = false;
+  user.has_lease = false;
   fixture.Run(milliseconds(400));
   BOOST_TEST(endpoint.requests.empty());
   BOOST_REQUIRE(user.ends.size() == 1U);
@@ -157,7 +160,7 @@
   User user;
   const auto behaviour = [&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 2, milliseconds(10), [&](Connection& cut) {
-      user.lease = false;
+      user.has_lease = false;
       cut.Reset();
     });
   };
@@ -171,7 +174,7 @@
   BOOST_TEST(user.ends[0].may_have_run);
 }
 
-BOOST_AUTO_TEST_CASE(failures_of_items_are_told_as_they_are) {
+BOOST_AUTO_TEST_CASE(error_responses_to_items_are_reported_unchanged) {
   for (const int status : {500, 422}) {
     ProxyFixture fixture;
     fixture.Add([status](Connection& connection, const Message& request) {
@@ -188,8 +191,8 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_call_may_be_cancelled_from_inside_what_it_tells) {
-  for (const bool at_head : {true, false}) {
+BOOST_AUTO_TEST_CASE(a_call_may_be_cancelled_in_its_callbacks) {
+  for (const bool in_on_head : {true, false}) {
     ProxyFixture fixture;
     Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
       fixture.endpoints[0]->Stream(connection, request, 10);
@@ -197,26 +200,26 @@
     User user;
     shelflink::policy::CallId call = 0;
     const auto cancel = [&] { fixture.calls.Cancel(call); };
-    (at_head ? user.on_head : user.on_event) = cancel;
+    (in_on_head ? user.on_head : user.on_event) = cancel;
     call = fixture.calls.Start(Item(fixture), user);
     fixture.Run(milliseconds(500));
     BOOST_TEST(user.ends.empty());
-    BOOST_TEST(user.events.size() == (at_head ? 0U : 1U));
+    BOOST_TEST(user.events.size() == (in_on_head ? 0U : 1U));
     BOOST_TEST(fixture.calls.active_calls() == 0U);
     BOOST_TEST(endpoint.disconnects == 1U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_is_not_told_before_start_has_returned) {
+BOOST_AUTO_TEST_CASE(a_refusal_is_not_reported_before_start_has_returned) {
   ProxyFixture fixture;
   User user;
-  fixture.calls.Start(Item(fixture), user);  // No endpoint at all.
+  fixture.calls.Start(Item(fixture), user);  // There is no endpoint.
   BOOST_TEST(user.ends.empty());
   fixture.Run(milliseconds(5000));
   BOOST_TEST(user.ends.size() <= 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_target_that_is_none_is_not_sent) {
+BOOST_AUTO_TEST_CASE(an_invalid_target_is_not_sent) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(proxy_test::RespondWith("x"));
   for (const std::string target : {"", "no", "/a b", "/a\r\nX: y"}) {
@@ -231,7 +234,7 @@
   BOOST_TEST(endpoint.requests.empty());
 }
 
-BOOST_AUTO_TEST_CASE(load_is_told_by_service) {
+BOOST_AUTO_TEST_CASE(load_is_reported_by_service) {
   ProxyFixture fixture;
   fixture.Add([](Connection&, const Message&) {});
   User user;
--- a/tests/tier/proxy/cut_listener.h
+++ b/tests/tier/proxy/cut_listener.h
@@ -1,5 +1,5 @@
-// A listener of the proxy's kind with nothing behind it, and what each of its connections came to:
-// for requests in two parts, cut anywhere, with time between.
+// A kelpspring::Server without a backend, for tests that send requests in two parts, split at any
+// byte, with a pause between the parts; records the result of each connection.
 #ifndef TESTS_TIER_PROXY_CUT_LISTENER_H_
 #define TESTS_TIER_PROXY_CUT_LISTENER_H_
 
@@ -16,13 +16,13 @@
 
 namespace proxy_test {
 
-constexpr auto kBetweenParts = milliseconds(20);
-constexpr auto kServed = milliseconds(60);
+constexpr auto kPauseBetweenParts = milliseconds(20);
+constexpr auto kResponseTime = milliseconds(60);
 
-// What one connection came to.
+// Result of one connection.
 struct Outcome {
-  std::vector<std::string> dispatched;  // Head and body of each request.
-  std::string answered;
+  std::vector<std::string> dispatched;  // Head and body of each dispatched request.
+  std::string other_output;             // All other output to the client.
   bool closed = false;
 
   bool operator==(const Outcome&) const = default;
@@ -30,50 +30,51 @@
 
 inline std::ostream& operator<<(std::ostream& out, const Outcome& outcome) {
   out << "{dispatched:";
-  for (const std::string& request : outcome.dispatched) out << " <" << Shown(request) << ">";
-  return out << ", answered: " << Shown(outcome.answered) << (outcome.closed ? ", over}" : "}");
+  for (const std::string& request : outcome.dispatched) out << " <" << Printable(request) << ">";
+  return out << ", other output: " << Printable(outcome.other_output)
+             << (outcome.closed ? ", closed}" : "}");
 }
 
-// A listener that reads each request to its end and answers with what it has read, so that every
-// connection shows what was dispatched on it.
-class Listener {
+// Reads each request completely and responds with its text, so that the responses on a connection
+// show which requests were dispatched.
+class TestServer {
  public:
-  explicit Listener(std::uint64_t most_body)
+  explicit TestServer(std::uint64_t max_body)
       : network_(1),
         process_(network_, 0x0a010001, "server", 4000),
-        outside_(network_, 0x0a090001, "clients", 4000),
+        client_process_(network_, 0x0a090001, "clients", 4000),
         log_(process_, [](std::string_view) {}),
         budget_{3000, 0, [] { return false; }, nullptr},
         server_(
             process_, log_, process_.Listen(net::Address::V4(0x0a010001, 8687)), budget_, drain_,
-            [] { return true; }, [most_body] { return most_body; },
+            [] { return true; }, [max_body] { return max_body; },
             [this](const std::shared_ptr<kelpspring::Client>& client,
                    kelpspring::HttpRequest request,
                    kelpspring::Arrival arrival) { Serve(client, std::move(request), arrival); },
             Terms()) {
     server_.Open();
   }
-  ~Listener() { network_.Clear(); }
-  Listener(const Listener&) = delete;
-  Listener& operator=(const Listener&) = delete;
+  ~TestServer() { network_.Clear(); }
+  TestServer(const TestServer&) = delete;
+  TestServer& operator=(const TestServer&) = delete;
 
-  // One connection for each of the texts, all at once; each text in the parts that it is cut into.
-  std::vector<Outcome> Play(const std::string& text, const std::vector<std::size_t>& cuts) {
+  // Sends `text` on one connection per element of `cuts`, concurrently, split at that byte.
+  std::vector<Outcome> SendSplitAt(const std::string& text, const std::vector<std::size_t>& cuts) {
     std::vector<std::unique_ptr<Client>> clients;
     for (const std::size_t cut : cuts) {
       clients.push_back(Dial());
       clients.back()->Send(text.substr(0, cut));
     }
-    Run(kBetweenParts);
+    Run(kPauseBetweenParts);
     for (std::size_t i = 0; i < cuts.size(); ++i) clients[i]->Send(text.substr(cuts[i]));
-    Run(kServed);
+    Run(kResponseTime);
     std::vector<Outcome> outcomes;
     for (const auto& client : clients) outcomes.push_back(OutcomeOf(*client));
     for (const auto& client : clients) client->Disconnect();
     Run(milliseconds(10));
     return outcomes;
   }
-  // A readiness check by another client.
+  // Result of a readiness check from a new connection.
   bool Ready() {
     const auto client = Dial();
     client->Send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -94,8 +95,8 @@
 
   using ClientPtr = std::shared_ptr<kelpspring::Client>;
 
-  // In place of reading and answering, where it is set.
-  std::function<void(const ClientPtr&)> serve;
+  // If set, called for each request instead of the default handling.
+  std::function<void(const ClientPtr&)> on_request;
 
  private:
   static kelpspring::ServerTerms Terms() {
@@ -103,10 +104,12 @@
     terms.health_path = "/ready";
     return terms;
   }
-  std::unique_ptr<Client> Dial() { return std::make_unique<Client>(outside_, server_.address()); }
+  std::unique_ptr<Client> Dial() {
+    return std::make_unique<Client>(client_process_, server_.address());
+  }
   void Serve(const ClientPtr& client, kelpspring::HttpRequest request,
              kelpspring::Arrival arrival) {
-    if (serve) return serve(client);
+    if (on_request) return on_request(client);
     std::string text = kelpspring::HeadOf(request) + request.body();
     if (arrival.whole) return client->RespondPlain(200, text);
     ReadBody(client, std::move(text));
@@ -121,21 +124,21 @@
     Outcome outcome;
     outcome.closed = client.closed;
     while (true) {
-      const Message answer = client.NextResponse();
-      if (!answer.whole) break;
-      if (answer.Status() == 200) {
-        outcome.dispatched.push_back(answer.body);
+      const Message response = client.NextResponse();
+      if (!response.whole) break;
+      if (response.Status() == 200) {
+        outcome.dispatched.push_back(response.body);
       } else {
-        outcome.answered += answer.start_line + " " + answer.body;
+        outcome.other_output += response.start_line + " " + response.body;
       }
     }
-    outcome.answered += client.received;
+    outcome.other_output += client.received;
     return outcome;
   }
 
   net::VirtualNet network_;
   net::VirtualProcess process_;
-  net::VirtualProcess outside_;
+  net::VirtualProcess client_process_;
   kelpspring::Log log_;
   kelpspring::SocketBudget budget_;
   kelpspring::Drain drain_;
--- a/tests/tier/proxy/endpoint_test.cpp
+++ b/tests/tier/proxy/endpoint_test.cpp
@@ -1,4 +1,5 @@
-// What is owed when endpoints refuse, fail, break off, fall silent, answer wrongly or change.
+// The proxy's behaviour when endpoints refuse, fail, break off, become silent, respond incorrectly,
+// drain or are replaced.
 #define BOOST_TEST_MODULE proxy_endpoint
 #include <boost/test/unit_test.hpp>
 
@@ -16,35 +17,35 @@
 
 namespace {
 
-Endpoint::Behaviour Refuses(int status = 503) {
+Endpoint::Behaviour Refuse(int status = 503) {
   return [status](Connection& connection, const Message& request) {
     connection.Write(Endpoint::NotRunResponse(request, status));
   };
 }
 
-// So that every endpoint misbehaves until one has, and the others answer.
-struct FirstOnly {
-  explicit FirstOnly(Endpoint::Behaviour behaviour) : bad(std::move(behaviour)) {}
+// Shared by all endpoints of a test: the first request gets `bad`, all later ones get `good`.
+struct BadFirst {
+  explicit BadFirst(Endpoint::Behaviour behaviour) : bad(std::move(behaviour)) {}
   Endpoint::Behaviour bad;
-  int seen = 0;
+  int requests = 0;
   Endpoint::Behaviour Then(Endpoint::Behaviour good) {
     return [this, good = std::move(good)](Connection& connection, const Message& request) {
-      (seen++ == 0 ? bad : good)(connection, request);
+      (requests++ == 0 ? bad : good)(connection, request);
     };
   }
 };
 
 }  // namespace
 
-// ---- Never run: another endpoint, or 503 ----
+// ---- Not executed: another endpoint, or 503 ----
 
-BOOST_AUTO_TEST_CASE(what_an_endpoint_did_not_run_goes_on_at_another) {
+BOOST_AUTO_TEST_CASE(a_request_that_was_not_executed_is_sent_to_another_endpoint) {
   for (const int status : {503, 429, 421}) {
     BOOST_TEST_CONTEXT(status) {
       ProxyFixture fixture;
-      FirstOnly first(Refuses(status));
-      fixture.Add(first.Then(RespondWith("x")));
-      fixture.Add(first.Then(RespondWith("x")));
+      BadFirst bad_first(Refuse(status));
+      fixture.Add(bad_first.Then(RespondWith("x")));
+      fixture.Add(bad_first.Then(RespondWith("x")));
       auto client = fixture.SendRequest(Request("/post/a"));
       fixture.Run(milliseconds(100));
       BOOST_TEST(client->NextResponse().Status() == 200);
@@ -53,39 +54,39 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(refused_everywhere_is_503_at_once_with_a_time_to_come_back) {
+BOOST_AUTO_TEST_CASE(refused_by_all_endpoints_is_503_with_retry_after) {
   ProxyFixture fixture;
-  fixture.Add(Refuses());
-  fixture.Add(Refuses());
+  fixture.Add(Refuse());
+  fixture.Add(Refuse());
   auto client = fixture.SendRequest(Request("/post/a"));
   fixture.Run(milliseconds(600));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.Status() == 503);
-  BOOST_TEST(std::stod(answer.Value("Retry-After")) > 0);
-  BOOST_TEST(answer.Count("Shelflink-Response-Stamp") == 0U);
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.Status() == 503);
+  BOOST_TEST(std::stod(response.Value("Retry-After")) > 0);
+  BOOST_TEST(response.Count("Shelflink-Response-Stamp") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(no_endpoint_is_503_without_a_hold) {
+BOOST_AUTO_TEST_CASE(no_endpoint_is_503_without_a_wait) {
   ProxyFixture fixture;
   auto client = fixture.SendRequest(Request("/post/a"));
   fixture.Run(milliseconds(600));
   BOOST_TEST(client->NextResponse().Status() == 503);
 }
 
-BOOST_AUTO_TEST_CASE(dead_port_counts_as_not_run) {
+BOOST_AUTO_TEST_CASE(connection_refused_counts_as_not_executed) {
   ProxyFixture fixture;
   Endpoint& dead = fixture.Add(RespondWith("x"));
-  Endpoint& alive = fixture.Add(RespondWith("x"));
-  dead.Crash();  // The list does not know it yet.
+  Endpoint& running = fixture.Add(RespondWith("x"));
+  dead.Crash();  // It is still listed.
   for (int number = 0; number < 4; ++number) {
     auto client = fixture.SendRequest(Request("/post/a", "0" + std::to_string(number)));
     fixture.Run(milliseconds(200));
     BOOST_TEST(client->NextResponse().Status() == 200);
   }
-  BOOST_TEST(alive.requests.size() == 4U);
+  BOOST_TEST(running.requests.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(silent_machine_costs_one_dial_only) {
+BOOST_AUTO_TEST_CASE(unreachable_host_costs_one_connection_attempt_only) {
   ProxyFixture fixture;
   Endpoint& silent = fixture.Add(RespondWith("x"));
   fixture.Add(RespondWith("x"));
@@ -97,9 +98,9 @@
   BOOST_TEST(two->NextResponse().Status() == 200);
 }
 
-// ---- May have run ----
+// ---- Possibly executed ----
 
-BOOST_AUTO_TEST_CASE(break_after_the_send_is_502_where_it_must_not_run_twice) {
+BOOST_AUTO_TEST_CASE(failure_after_the_send_is_502_if_not_idempotent) {
   const std::vector<Endpoint::Behaviour> breaks = {
       [](Connection& connection, const Message&) { connection.Reset(); },
       [](Connection& connection, const Message&) { connection.Close(); },
@@ -112,17 +113,17 @@
         connection.Write(Endpoint::Head(request, "Content-Length: 2\r\nContent-Length: 3\r\n") +
                          "abc");
       },
-      // No stamp, no success.
+      // A success without a stamp.
       [](Connection& connection, const Message& request) {
         connection.Write("HTTP/1.1 200 OK\r\nShelflink-Request-Id: " +
                          request.Value("Shelflink-Request-Id") + "\r\nContent-Length: 1\r\n\r\nx");
       },
-      // Nobody's answer.
+      // A response without a request id.
       [](Connection& connection, const Message&) {
         connection.Write(
             "HTTP/1.1 200 OK\r\nShelflink-Response-Stamp: s\r\nContent-Length: 1\r\n\r\nx");
       },
-      // Promises that the endpoint does not make.
+      // Statuses that promise non-execution, without Shelflink-Not-Run.
       [](Connection& connection, const Message& request) {
         connection.Write(Endpoint::Response(request, "", 503));
       },
@@ -141,20 +142,20 @@
         fixture.Add(breaks[number]);
         auto client = fixture.SendRequest(Request(path));
         fixture.Run(milliseconds(500));
-        const Message answer = client->NextResponse();
-        BOOST_TEST(answer.Status() == 502);
-        BOOST_TEST(answer.Count("Shelflink-Response-Stamp") == 0U);
+        const Message response = client->NextResponse();
+        BOOST_TEST(response.Status() == 502);
+        BOOST_TEST(response.Count("Shelflink-Response-Stamp") == 0U);
         BOOST_TEST(fixture.RequestCount() == 1U);
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(idempotent_requests_run_again_up_to_the_limit) {
+BOOST_AUTO_TEST_CASE(idempotent_requests_are_retried_up_to_the_limit) {
   ProxyFixture fixture;
-  FirstOnly first([](Connection& connection, const Message&) { connection.Reset(); });
-  fixture.Add(first.Then(RespondWith("x")));
-  fixture.Add(first.Then(RespondWith("x")));
+  BadFirst bad_first([](Connection& connection, const Message&) { connection.Reset(); });
+  fixture.Add(bad_first.Then(RespondWith("x")));
+  fixture.Add(bad_first.Then(RespondWith("x")));
   auto client = fixture.SendRequest(Request("/get/a"));
   fixture.Run(milliseconds(200));
   BOOST_TEST(client->NextResponse().Status() == 200);
@@ -179,22 +180,22 @@
       });
       auto client = fixture.SendRequest(Request("/post/a"));
       fixture.Run(milliseconds(200));
-      const Message answer = client->NextResponse();
-      BOOST_TEST(answer.Status() == status);
-      BOOST_TEST(answer.body == "why");
-      BOOST_TEST(answer.Value("Shelflink-Response-Stamp") == "stamp.1");
+      const Message response = client->NextResponse();
+      BOOST_TEST(response.Status() == status);
+      BOOST_TEST(response.body == "why");
+      BOOST_TEST(response.Value("Shelflink-Response-Stamp") == "stamp.1");
       BOOST_TEST(fixture.RequestCount() == 1U);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_failure_is_tried_elsewhere_where_that_may_be) {
+BOOST_AUTO_TEST_CASE(a_500_is_retried_elsewhere_if_idempotent) {
   ProxyFixture fixture;
-  FirstOnly first([](Connection& connection, const Message& request) {
+  BadFirst bad_first([](Connection& connection, const Message& request) {
     connection.Write(Endpoint::Response(request, "why", 500));
   });
-  fixture.Add(first.Then(RespondWith("x")));
-  fixture.Add(first.Then(RespondWith("x")));
+  fixture.Add(bad_first.Then(RespondWith("x")));
+  fixture.Add(bad_first.Then(RespondWith("x")));
   auto client = fixture.SendRequest(Request("/get/a"));
   fixture.Run(milliseconds(200));
   BOOST_TEST(client->NextResponse().Status() == 200);
@@ -207,13 +208,13 @@
   }
   auto other = failing.SendRequest(Request("/get/a"));
   failing.Run(milliseconds(200));
-  const Message answer = other->NextResponse();
-  BOOST_TEST(answer.Status() == 500);
-  BOOST_TEST(answer.body == "why");
+  const Message response = other->NextResponse();
+  BOOST_TEST(response.Status() == 500);
+  BOOST_TEST(response.body == "why");
   BOOST_TEST(failing.RequestCount() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(silence_ends_with_504_at_the_clients_deadline) {
+BOOST_AUTO_TEST_CASE(silent_endpoint_is_504_at_the_clients_deadline) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([](Connection&, const Message&) {});
   const auto start = fixture.network.Now();
@@ -226,18 +227,18 @@
   BOOST_TEST(endpoint.disconnects == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(an_idempotent_request_leaves_an_endpoint_that_is_silent_for_all) {
+BOOST_AUTO_TEST_CASE(an_idempotent_request_moves_from_an_endpoint_that_is_silent_on_all_calls) {
   ProxyFixture fixture;
-  FirstOnly first([](Connection&, const Message&) {});
-  fixture.Add(first.Then(RespondWith("x")));
-  fixture.Add(first.Then(RespondWith("x")));
+  BadFirst bad_first([](Connection&, const Message&) {});
+  fixture.Add(bad_first.Then(RespondWith("x")));
+  fixture.Add(bad_first.Then(RespondWith("x")));
   auto client = fixture.SendRequest(Request("/get/a"));
   fixture.Run(milliseconds(1500));
   BOOST_TEST(client->NextResponse().Status() == 200);
   BOOST_TEST(fixture.RequestCount() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(an_idempotent_request_waits_where_others_are_answered) {
+BOOST_AUTO_TEST_CASE(an_idempotent_request_stays_while_its_endpoint_responds_to_others) {
   ProxyFixture fixture;
   const auto behaviour = [&](Connection& connection, const Message& request) {
     if (request.Value("Shelflink-Request-Id") != "slow")
@@ -258,7 +259,7 @@
   BOOST_TEST(fixture.RequestCount() == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(a_proxy_that_stood_still_reads_what_has_come_first) {
+BOOST_AUTO_TEST_CASE(a_resumed_proxy_reads_pending_data_before_it_checks_timeouts) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ProxyFixture fixture(seed);
     fixture.Add([&](Connection& connection, const Message& request) {
@@ -274,7 +275,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_held_beyond_the_routes_time_out) {
+BOOST_AUTO_TEST_CASE(no_request_outlives_the_routes_timeout) {
   ProxyFixture fixture;
   fixture.Add([](Connection&, const Message&) {});
   auto client = fixture.SendRequest(
@@ -284,7 +285,7 @@
   BOOST_TEST(client->NextResponse().Status() == 504);
 }
 
-BOOST_AUTO_TEST_CASE(client_that_leaves_is_cancelled_at_the_endpoint) {
+BOOST_AUTO_TEST_CASE(disconnect_of_the_client_cancels_at_the_endpoint) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([](Connection&, const Message&) {});
   auto client = fixture.SendRequest(Request("/post/a"));
@@ -296,9 +297,9 @@
   BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
-// ---- What stands before, behind and in place of an answer ----
+// ---- Interim, surplus and misplaced responses ----
 
-BOOST_AUTO_TEST_CASE(interim_answers_are_left_out) {
+BOOST_AUTO_TEST_CASE(interim_responses_are_dropped) {
   ProxyFixture fixture;
   fixture.Add([](Connection& connection, const Message& request) {
     connection.Write("HTTP/1.1 103 Early\r\nX-Hint: a\r\n\r\n" + Endpoint::Response(request, "x"));
@@ -309,7 +310,7 @@
   BOOST_TEST(client->NextResponse().body == "x");
 }
 
-BOOST_AUTO_TEST_CASE(late_surplus_answer_is_not_the_next_ones) {
+BOOST_AUTO_TEST_CASE(late_surplus_response_is_not_used_for_the_next_request) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("one"));
   auto one = fixture.SendRequest(Request("/post/a", "01"));
@@ -326,7 +327,7 @@
   BOOST_TEST(endpoint.connections == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(surplus_answer_alone_is_waited_behind_and_then_502) {
+BOOST_AUTO_TEST_CASE(surplus_response_alone_is_skipped_and_then_502) {
   ProxyFixture fixture;
   fixture.Add([](Connection& connection, const Message&) {
     connection.Write(
@@ -339,7 +340,7 @@
   BOOST_TEST(client->NextResponse().Status() == 502);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_behind_an_answer_end_its_connection) {
+BOOST_AUTO_TEST_CASE(bytes_after_a_response_close_its_connection) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([](Connection& connection, const Message& request) {
     connection.Write(Endpoint::Response(request, "x") +
@@ -353,25 +354,25 @@
   BOOST_TEST(endpoint.connections == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(encodings_pass_as_they_are) {
+BOOST_AUTO_TEST_CASE(content_encodings_are_forwarded_unchanged) {
   ProxyFixture fixture;
   fixture.Add(RespondWith("zipped", "Content-Encoding: gzip\r\n"));
   auto client = fixture.SendRequest(Request("/post/a"));
   fixture.Run(milliseconds(50));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.Value("Content-Encoding") == "gzip");
-  BOOST_TEST(answer.body == "zipped");
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.Value("Content-Encoding") == "gzip");
+  BOOST_TEST(response.body == "zipped");
 }
 
-BOOST_AUTO_TEST_CASE(long_answers_pass_in_parts_and_a_break_shows) {
+BOOST_AUTO_TEST_CASE(long_responses_are_forwarded_in_parts_and_truncation_is_visible) {
   const std::string body(300'000, 'b');
   ProxyFixture fixture;
   fixture.Add(RespondWith(body));
   auto client = fixture.SendRequest(Request("/post/a"));
   fixture.Run(milliseconds(500));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST((answer.body == body));
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST((response.body == body));
 
   ProxyFixture breaking;
   breaking.Add([&](Connection& connection, const Message& request) {
@@ -387,7 +388,7 @@
 
 // ---- Connections ----
 
-BOOST_AUTO_TEST_CASE(connections_are_kept_and_used_again) {
+BOOST_AUTO_TEST_CASE(connections_are_reused) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x", "Keep-Alive: timeout=5\r\n"));
   for (int number = 0; number < 5; ++number) {
@@ -398,7 +399,7 @@
   BOOST_TEST(endpoint.connections == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(keep_alive_bounds_how_long_one_is_kept) {
+BOOST_AUTO_TEST_CASE(keep_alive_limits_the_idle_time_of_a_connection) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x", "Keep-Alive: timeout=1\r\n"));
   auto one = fixture.SendRequest(Request("/post/a", "01"));
@@ -410,74 +411,75 @@
   BOOST_TEST(endpoint.connections == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(connection_close_is_heeded) {
+BOOST_AUTO_TEST_CASE(connection_close_is_honoured) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x", "Connection: close\r\n"));
   for (int number = 0; number < 2; ++number) {
     auto client = fixture.SendRequest(Request("/post/a", "0" + std::to_string(number)));
     fixture.Run(milliseconds(50));
-    const Message answer = client->NextResponse();
-    BOOST_TEST(answer.Status() == 200);
-    BOOST_TEST(answer.Value("Connection") != "close");  // That was between it and us.
+    const Message response = client->NextResponse();
+    BOOST_TEST(response.Status() == 200);
+    BOOST_TEST(response.Value("Connection") !=
+               "close");  // A hop-by-hop header of the endpoint's connection.
   }
   BOOST_TEST(endpoint.connections == 2U);
 }
 
-// ---- Endpoints that drain, go and change ----
+// ---- Endpoints that drain, leave the list or are replaced ----
 
-BOOST_AUTO_TEST_CASE(draining_and_gone_endpoints_get_nothing_new) {
+BOOST_AUTO_TEST_CASE(draining_endpoints_get_no_new_requests) {
   ProxyFixture fixture;
-  Endpoint& leaving = fixture.Add(RespondWith("x"));
+  Endpoint& draining = fixture.Add(RespondWith("x"));
   fixture.Add(RespondWith("x"));
-  leaving.draining = true;
+  draining.draining = true;
   fixture.PublishEndpoints();
   for (int number = 0; number < 6; ++number) {
     auto client = fixture.SendRequest(Request("/post/a", "0" + std::to_string(number)));
     fixture.Run(milliseconds(50));
     BOOST_TEST(client->NextResponse().Status() == 200);
   }
-  BOOST_TEST(leaving.requests.empty());
+  BOOST_TEST(draining.requests.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_connection_that_is_dialled_while_the_drain_comes_carries_nothing) {
+BOOST_AUTO_TEST_CASE(a_connection_opened_during_the_start_of_a_drain_carries_no_request) {
   ProxyFixture fixture;
-  Endpoint& leaving = fixture.Add(RespondWith("x"));
+  Endpoint& draining = fixture.Add(RespondWith("x"));
   net::Weather slow;
   slow.latency_low = milliseconds(50);
   slow.latency_high = milliseconds(50);
-  fixture.network.SetWeather(leaving.process.host(), fixture.process.host(), slow);
+  fixture.network.SetWeather(draining.process.host(), fixture.process.host(), slow);
   auto client = fixture.SendRequest(Request("/post/a"));
-  fixture.Run(milliseconds(60));  // The dial is under way.
-  leaving.draining = true;
+  fixture.Run(milliseconds(60));  // The connection is being opened.
+  draining.draining = true;
   fixture.PublishEndpoints();
   fixture.Run(milliseconds(400));
-  BOOST_TEST(leaving.requests.empty());
+  BOOST_TEST(draining.requests.empty());
   BOOST_TEST(client->NextResponse().Status() == 503);
 }
 
-BOOST_AUTO_TEST_CASE(what_runs_at_a_draining_endpoint_goes_on) {
+BOOST_AUTO_TEST_CASE(requests_at_a_draining_endpoint_continue) {
   ProxyFixture fixture;
-  Endpoint& leaving = fixture.Add([&](Connection& connection, const Message& request) {
+  Endpoint& draining = fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 10, milliseconds(50));
   });
   auto client = fixture.SendRequest(Request("/stream/a"));
   fixture.Run(milliseconds(100));
-  leaving.draining = true;
+  draining.draining = true;
   fixture.PublishEndpoints();
   fixture.Run(milliseconds(1000));
   BOOST_TEST(client->NextResponse().whole);
 }
 
-BOOST_AUTO_TEST_CASE(another_instance_at_the_address_never_runs_it) {
+BOOST_AUTO_TEST_CASE(another_instance_at_the_address_does_not_execute_it) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x"));
-  endpoint.id = "i-other";  // Its process started anew; the list still has i-0.
+  endpoint.id = "i-other";  // Its process was restarted; the list still has i-0.
   auto list = std::make_shared<shelflink::cluster::EndpointList>(*fixture.view.endpoints);
   auto client = fixture.SendRequest(Request("/post/a"));
   fixture.Run(milliseconds(300));
   BOOST_TEST(client->NextResponse().Status() == 503);
   BOOST_TEST(endpoint.requests.size() == 1U);
-  // It is not asked again under that name.
+  // No further request is sent to i-0.
   auto again = fixture.SendRequest(Request("/post/a", "02"));
   fixture.Run(milliseconds(300));
   BOOST_TEST(again->NextResponse().Status() == 503);
@@ -488,7 +490,7 @@
   BOOST_TEST(after->NextResponse().Status() == 200);
 }
 
-BOOST_AUTO_TEST_CASE(weights_split_requests_between_services) {
+BOOST_AUTO_TEST_CASE(requests_are_split_by_service_weight) {
   auto configuration = SampleConfiguration();
   configuration.routes[1].split = {{"svc", 90}, {"other", 10}};
   configuration.services.push_back({"other", "/health", 100, std::nullopt, std::nullopt});
@@ -507,9 +509,9 @@
   BOOST_TEST(other.requests.size() < 60U);
 }
 
-// A second answer to an attempt bears the id that the next attempt of the same request waits for:
-// that one goes out on another connection.
-BOOST_AUTO_TEST_CASE(a_retry_is_not_answered_by_a_second_answer_to_the_attempt_before) {
+// Guards against taking a second response to the previous attempt for the response to the next
+// attempt: both have the same request id, so the next attempt uses another connection.
+BOOST_AUTO_TEST_CASE(a_second_response_to_the_previous_attempt_is_not_used_for_a_retry) {
   ProxyFixture fixture(11);
   Endpoint* only = nullptr;
   only = &fixture.Add([&](Endpoint::Connection& connection, const Message& request) {
@@ -519,15 +521,15 @@
   });
   auto client = fixture.SendRequest(Request("/get/x"));
   fixture.Run(milliseconds(500));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.Status() == 200);
-  BOOST_TEST(answer.body == "right");
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.Status() == 200);
+  BOOST_TEST(response.body == "right");
   BOOST_TEST(only->requests.size() == 2U);
   BOOST_TEST(only->connections == 2U);
 }
 
-// So does one to an earlier request of the same id, as items of batch jobs are sent again.
-BOOST_AUTO_TEST_CASE(a_request_is_not_answered_by_a_second_answer_to_its_like_before) {
+// The same for an earlier request with the same id: batch items are sent repeatedly.
+BOOST_AUTO_TEST_CASE(a_second_response_to_an_earlier_request_with_the_same_id_is_not_used) {
   ProxyFixture fixture(11);
   Endpoint* only = nullptr;
   only = &fixture.Add([&](Endpoint::Connection& connection, const Message& request) {
@@ -546,14 +548,15 @@
   BOOST_TEST(first->NextResponse().Status() == 500);
   auto second = fixture.SendRequest(Request("/post/x", "item"));
   fixture.Run(milliseconds(500));
-  const Message answer = second->NextResponse();
-  BOOST_TEST(answer.Status() == 200);
-  BOOST_TEST(answer.body == "right");
+  const Message response = second->NextResponse();
+  BOOST_TEST(response.Status() == 200);
+  BOOST_TEST(response.body == "right");
   BOOST_TEST(only->connections == 2U);
 }
 
-// The parser's own assertion ends the process where it is compiled in.
-BOOST_AUTO_TEST_CASE(an_empty_body_in_chunks_may_come_cut_anywhere) {
+// Guards against an assertion in the parser, which would abort the process in builds with
+// assertions.
+BOOST_AUTO_TEST_CASE(an_empty_chunked_body_may_be_split_anywhere) {
   const std::string last = "0\r\n\r\n";
   for (std::size_t first = 1; first < last.size(); ++first) {
     for (std::size_t second = first + 1; second <= last.size(); ++second) {
@@ -576,10 +579,10 @@
       fixture.Run(milliseconds(10));
       client->Send(last.substr(second));
       fixture.Run(milliseconds(300));
-      const Message answer = client->NextResponse();
-      BOOST_TEST(answer.Status() == 200);
-      BOOST_TEST(answer.whole);
-      BOOST_TEST(answer.body.empty());
+      const Message response = client->NextResponse();
+      BOOST_TEST(response.Status() == 200);
+      BOOST_TEST(response.whole);
+      BOOST_TEST(response.body.empty());
     }
   }
 }
--- a/tests/tier/proxy/exchange_table_test.cpp
+++ b/tests/tier/proxy/exchange_table_test.cpp
@@ -1,6 +1,6 @@
-// The table of docs/design/proxy-ends.md: the state in which a connection to an endpoint is, times
-// what comes on it. One request (`subject`) is brought into each state, then the event happens.
-// Behind it on the client's connection a second request is sent ahead: its answer must be its own.
+// The table of docs/design/proxy-ends.md: states of a connection to an endpoint, times events on
+// it. One request (`subject`) is brought into each state, then the event happens. A second request
+// (`ahead`) is pipelined after it on the client's connection and must get its own response.
 #define BOOST_TEST_MODULE proxy_exchange_table
 #include <boost/test/unit_test.hpp>
 
@@ -18,92 +18,93 @@
 
 enum class State { kHalfWritten, kWritten, kHeadHalfRead, kBodyHalfRead, kPartsHalfRead };
 enum class Event {
-  kAnswer,         // The rest of the answer, in its time.
-  kEarlyAnswer,    // All of it, with the request's body unread, which is read on later.
-  kEarlyHalf,      // A half of it, likewise; then a reset.
-  kEarlyBegin,     // The beginning of it, likewise; the rest once the body has been read.
-  kFailure,        // The endpoint's own 500; early where the request is not out.
-  kNotRun,         // 503 with Shelflink-Not-Run; early where the request is not out.
-  kForeignAnswer,  // A surplus answer to another request, before its own.
-  kSecondAnswer,   // Its own answer twice.
-  kInterim,        // 1xx before its own.
+  kResponse,         // The rest of the response, after the request has been read.
+  kEarlyResponse,    // The whole response before the request's body is read; it is read later.
+  kEarlyHalf,        // Half of the response before the body is read; then a reset.
+  kEarlyBegin,       // The start of the response before the body is read, the rest afterwards.
+  kFailure,          // A 500 of the endpoint; early if the request is not completely written.
+  kNotRun,           // 503 with Shelflink-Not-Run; early if the request is not completely written.
+  kForeignResponse,  // A surplus response to another request, before the right one.
+  kSecondResponse,   // The right response twice.
+  kInterim,          // A 1xx response before the final one.
   kGarbage,
   kReset,
   kEnd,
   kSilence,
 };
 
-// What the client sees: a status, or kCut where the answer breaks off.
+// Result for the client: a status, or kCut if the response is truncated.
 constexpr int kCut = 0;
 struct Result {
   int status = 0;
-  bool elsewhere = false;  // Sent to another endpoint.
+  bool elsewhere = false;  // The request was also sent to another endpoint.
 };
 
 struct Cell {
   State state;
   Event event;
-  Result once;  // On a route whose requests may run at most once,
-  Result many;  // and on an idempotent one.
-  bool kept;    // Whether the connection may carry another request.
+  Result non_idempotent;  // On a route whose requests may be executed at most once.
+  Result idempotent;      // On an idempotent route.
+  bool reusable;          // The connection may carry another request.
 };
 
-constexpr Result kFirst{200, false};
-constexpr Result kOther{200, true};
-constexpr Result kBad{502, false};
-constexpr Result kLate{504, false};
+constexpr Result kFromFirst{200, false};
+constexpr Result kFromOther{200, true};
+constexpr Result kBadGateway{502, false};
+constexpr Result kGatewayTimeout{504, false};
 
 // clang-format off
 const std::vector<Cell> kTable = {
-  // The request's body is not written to its end.
-  {State::kHalfWritten, Event::kAnswer,        kFirst, kFirst, true},
-  {State::kHalfWritten, Event::kEarlyAnswer,   kFirst, kFirst, false},
-  {State::kHalfWritten, Event::kEarlyHalf,     kBad,   kOther, false},
-  {State::kHalfWritten, Event::kEarlyBegin,    kFirst, kFirst, false},
-  {State::kHalfWritten, Event::kFailure,       {500, false}, kOther, false},
-  {State::kHalfWritten, Event::kNotRun,        kOther, kOther, false},
-  {State::kHalfWritten, Event::kForeignAnswer, kFirst, kFirst, false},
-  {State::kHalfWritten, Event::kInterim,       kFirst, kFirst, true},
-  {State::kHalfWritten, Event::kGarbage,       kBad,   kOther, false},
-  {State::kHalfWritten, Event::kReset,         kOther, kOther, false},
-  {State::kHalfWritten, Event::kEnd,           kOther, kOther, false},
-  {State::kHalfWritten, Event::kSilence,       {503, false}, kOther, false},
-  // All of it is written, and nothing has come.
-  {State::kWritten, Event::kAnswer,        kFirst, kFirst, true},
-  {State::kWritten, Event::kFailure,       {500, false}, kOther, true},
-  {State::kWritten, Event::kNotRun,        kOther, kOther, true},
-  {State::kWritten, Event::kForeignAnswer, kFirst, kFirst, false},
-  {State::kWritten, Event::kSecondAnswer,  kFirst, kFirst, false},
-  {State::kWritten, Event::kInterim,       kFirst, kFirst, true},
-  {State::kWritten, Event::kGarbage,       kBad,   kOther, false},
-  {State::kWritten, Event::kReset,         kBad,   kOther, false},
-  {State::kWritten, Event::kEnd,           kBad,   kOther, false},
-  {State::kWritten, Event::kSilence,       kLate,  kOther, false},
-  // A part of the answer's head has come.
-  {State::kHeadHalfRead, Event::kAnswer,       kFirst, kFirst, true},
-  {State::kHeadHalfRead, Event::kSecondAnswer, kFirst, kFirst, false},
-  {State::kHeadHalfRead, Event::kGarbage,      kBad,   kOther, false},
-  {State::kHeadHalfRead, Event::kReset,        kBad,   kOther, false},
-  {State::kHeadHalfRead, Event::kEnd,          kBad,   kOther, false},
-  {State::kHeadHalfRead, Event::kSilence,      kLate,  kOther, false},
-  // A part of its body has come, and is held.
-  {State::kBodyHalfRead, Event::kAnswer,       kFirst, kFirst, true},
-  {State::kBodyHalfRead, Event::kSecondAnswer, kFirst, kFirst, false},
-  {State::kBodyHalfRead, Event::kReset,        kBad,   kOther, false},
-  {State::kBodyHalfRead, Event::kEnd,          kBad,   kOther, false},
-  {State::kBodyHalfRead, Event::kSilence,      kLate,  kOther, false},
-  // The same, and it has gone on to the client.
-  {State::kPartsHalfRead, Event::kAnswer,       kFirst, kFirst, true},
-  {State::kPartsHalfRead, Event::kSecondAnswer, kFirst, kFirst, false},
-  {State::kPartsHalfRead, Event::kReset,        {kCut, false}, {kCut, false}, false},
-  {State::kPartsHalfRead, Event::kEnd,          {kCut, false}, {kCut, false}, false},
-  {State::kPartsHalfRead, Event::kSilence,      {kCut, false}, {kCut, false}, false},
+  // The request's body is not completely written.
+  {State::kHalfWritten, Event::kResponse,        kFromFirst, kFromFirst, true},
+  {State::kHalfWritten, Event::kEarlyResponse,   kFromFirst, kFromFirst, false},
+  {State::kHalfWritten, Event::kEarlyHalf,       kBadGateway,   kFromOther, false},
+  {State::kHalfWritten, Event::kEarlyBegin,      kFromFirst, kFromFirst, false},
+  {State::kHalfWritten, Event::kFailure,         {500, false}, kFromOther, false},
+  {State::kHalfWritten, Event::kNotRun,          kFromOther, kFromOther, false},
+  {State::kHalfWritten, Event::kForeignResponse, kFromFirst, kFromFirst, false},
+  {State::kHalfWritten, Event::kInterim,         kFromFirst, kFromFirst, true},
+  {State::kHalfWritten, Event::kGarbage,         kBadGateway,   kFromOther, false},
+  {State::kHalfWritten, Event::kReset,           kFromOther, kFromOther, false},
+  {State::kHalfWritten, Event::kEnd,             kFromOther, kFromOther, false},
+  {State::kHalfWritten, Event::kSilence,         {503, false}, kFromOther, false},
+  // The request is written, and no part of the response has been received.
+  {State::kWritten, Event::kResponse,        kFromFirst, kFromFirst, true},
+  {State::kWritten, Event::kFailure,         {500, false}, kFromOther, true},
+  {State::kWritten, Event::kNotRun,          kFromOther, kFromOther, true},
+  {State::kWritten, Event::kForeignResponse, kFromFirst, kFromFirst, false},
+  {State::kWritten, Event::kSecondResponse,  kFromFirst, kFromFirst, false},
+  {State::kWritten, Event::kInterim,         kFromFirst, kFromFirst, true},
+  {State::kWritten, Event::kGarbage,         kBadGateway,   kFromOther, false},
+  {State::kWritten, Event::kReset,           kBadGateway,   kFromOther, false},
+  {State::kWritten, Event::kEnd,             kBadGateway,   kFromOther, false},
+  {State::kWritten, Event::kSilence,         kGatewayTimeout,  kFromOther, false},
+  // A part of the response's head has been received.
+  {State::kHeadHalfRead, Event::kResponse,        kFromFirst, kFromFirst, true},
+  {State::kHeadHalfRead, Event::kSecondResponse,  kFromFirst, kFromFirst, false},
+  {State::kHeadHalfRead, Event::kGarbage,         kBadGateway,   kFromOther, false},
+  {State::kHeadHalfRead, Event::kReset,           kBadGateway,   kFromOther, false},
+  {State::kHeadHalfRead, Event::kEnd,             kBadGateway,   kFromOther, false},
+  {State::kHeadHalfRead, Event::kSilence,         kGatewayTimeout,  kFromOther, false},
+  // A part of the response's body has been received and is buffered.
+  {State::kBodyHalfRead, Event::kResponse,        kFromFirst, kFromFirst, true},
+  {State::kBodyHalfRead, Event::kSecondResponse,  kFromFirst, kFromFirst, false},
+  {State::kBodyHalfRead, Event::kReset,           kBadGateway,   kFromOther, false},
+  {State::kBodyHalfRead, Event::kEnd,             kBadGateway,   kFromOther, false},
+  {State::kBodyHalfRead, Event::kSilence,         kGatewayTimeout,  kFromOther, false},
+  // A part of the response's body has been received and forwarded to the client.
+  {State::kPartsHalfRead, Event::kResponse,        kFromFirst, kFromFirst, true},
+  {State::kPartsHalfRead, Event::kSecondResponse,  kFromFirst, kFromFirst, false},
+  {State::kPartsHalfRead, Event::kReset,           {kCut, false}, {kCut, false}, false},
+  {State::kPartsHalfRead, Event::kEnd,             {kCut, false}, {kCut, false}, false},
+  {State::kPartsHalfRead, Event::kSilence,         {kCut, false}, {kCut, false}, false},
 };
 // clang-format on
 
-constexpr std::size_t kLongBody = 400'000;  // More than a connection takes unread.
+constexpr std::size_t kLongBody =
+    400'000;  // More bytes than a connection buffers while the peer does not read.
 
-// A fixture whose first endpoint holds the request `subject` in the state.
+// A fixture whose first endpoint has received the request `subject` and is in the given state.
 class Exchange {
  public:
   Exchange(State state, const std::string& path) : state_(state) {
@@ -111,62 +112,63 @@
         [this](Connection& connection, const Message& request) { Serve(connection, request); });
     first_->on_head = [this](Connection& connection, const Message& request) {
       if (request.Value("Shelflink-Request-Id") != "subject") return;
-      Take(connection, request);
+      Capture(connection, request);
       connection.PauseReading();
     };
     auto warm = fixture.SendRequest(Request("/post/a", "warm"));
     fixture.Run(milliseconds(50));
     const bool long_body = state == State::kHalfWritten;
     client = fixture.SendRequest(
-        Request(path, "subject", "", std::string(long_body ? kLongBody : 6, 'p')) + Ahead());
+        Request(path, "subject", "", std::string(long_body ? kLongBody : 6, 'p')) +
+        PipelinedRequest());
     fixture.Run(milliseconds(50));
     BOOST_REQUIRE(connection_ != nullptr);
-    BOOST_REQUIRE(first_->connections == 1U);  // The one of before.
+    BOOST_REQUIRE(first_->connections == 1U);  // Reuses the connection of `warm`.
     if (state == State::kHalfWritten) BOOST_REQUIRE(connection_->request_count() == 1U);
     second_ = &fixture.Add([](Connection& connection, const Message& request) {
       connection.Write(Endpoint::Response(request, BodyOf("second", request)));
     });
-    answer_ = Endpoint::Response(request_, Body());
-    WriteUpTo(StartOf(state));
+    response_ = Endpoint::Response(request_, Body());
+    WriteUntil(InitialBytes(state));
     fixture.Run(milliseconds(50));
   }
 
-  // Waits behind the subject, and longer.
-  static std::string Ahead() {
+  // A request that is pipelined after the subject. It has no deadline, so it outlasts the subject.
+  static std::string PipelinedRequest() {
     return "POST /post/a HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: ahead\r\n"
            "Content-Length: 0\r\n\r\n";
   }
 
-  void Happen(Event event) {
+  void Trigger(Event event) {
     switch (event) {
-      case Event::kAnswer:
+      case Event::kResponse:
         if (state_ == State::kHalfWritten) return connection_->ResumeReading();
-        return WriteUpTo(answer_.size());
-      case Event::kEarlyAnswer:
-        connection_->Write(answer_);
-        return ReadOnLater();
+        return WriteUntil(response_.size());
+      case Event::kEarlyResponse:
+        connection_->Write(response_);
+        return ResumeReadingLater();
       case Event::kEarlyHalf:
-        connection_->Write(answer_.substr(0, answer_.size() / 2));
+        connection_->Write(response_.substr(0, response_.size() / 2));
         return first_->RunAfter(milliseconds(20), [this] { connection_->Reset(); });
       case Event::kEarlyBegin:
-        connection_->Write(answer_.substr(0, 20));
+        connection_->Write(response_.substr(0, 20));
         written_ = 20;
         return first_->RunAfter(milliseconds(200), [this] { connection_->ResumeReading(); });
       case Event::kFailure:
         connection_->Write(Endpoint::Response(request_, "why", 500));
-        return ReadOnLater();
+        return ResumeReadingLater();
       case Event::kNotRun:
         connection_->Write(Endpoint::NotRunResponse(request_));
-        return ReadOnLater();
-      case Event::kForeignAnswer:
-        connection_->Write(Endpoint::Response(Other(), "foreign"));
-        return Happen(Event::kAnswer);
-      case Event::kSecondAnswer:
-        connection_->Write(answer_.substr(written_) + answer_);
+        return ResumeReadingLater();
+      case Event::kForeignResponse:
+        connection_->Write(Endpoint::Response(RequestOfWarm(), "foreign"));
+        return Trigger(Event::kResponse);
+      case Event::kSecondResponse:
+        connection_->Write(response_.substr(written_) + response_);
         return;
       case Event::kInterim:
         connection_->Write("HTTP/1.1 103 Early\r\nX-Hint: a\r\n\r\n");
-        return Happen(Event::kAnswer);
+        return Trigger(Event::kResponse);
       case Event::kGarbage:
         return connection_->Write("\x01 no answer\r\n\r\n");
       case Event::kReset:
@@ -178,8 +180,8 @@
     }
   }
 
-  // A further request, for which the first endpoint is the only one.
-  Message AskAfter() {
+  // Sends a further request, for which only the first endpoint is available.
+  Message SendAnotherRequest() {
     second_->draining = true;
     fixture.PublishEndpoints();
     auto after = fixture.SendRequest(Request("/post/a", "after"));
@@ -188,12 +190,12 @@
   }
 
   const Connection& connection() const { return *connection_; }
-  std::size_t SentElsewhere() const {
+  std::size_t CountSentElsewhere() const {
     return static_cast<std::size_t>(std::count_if(
         second_->requests.begin(), second_->requests.end(),
         [](const Message& one) { return one.Value("Shelflink-Request-Id") == "subject"; }));
   }
-  // What of the subject's request has been read may be followed by its own bytes alone.
+  // Checks that nothing but the subject's own body was written after its head.
   void CheckWritten() const {
     const std::string& text = connection_->received();
     const std::size_t body = text.find("\r\n\r\n", text.find("subject")) + 4;
@@ -216,14 +218,14 @@
     if (request.Value("Shelflink-Request-Id") != "subject") {
       return connection.Write(Endpoint::Response(request, BodyOf("first", request)));
     }
-    if (state_ != State::kHalfWritten) return Take(connection, request);
-    if (!answered_early_) connection.Write(answer_.substr(written_));
+    if (state_ != State::kHalfWritten) return Capture(connection, request);
+    if (!responded_early_) connection.Write(response_.substr(written_));
   }
-  void Take(Connection& connection, const Message& request) {
+  void Capture(Connection& connection, const Message& request) {
     connection_ = &connection;
     request_ = request;
   }
-  static std::size_t StartOf(State state) {
+  static std::size_t InitialBytes(State state) {
     switch (state) {
       case State::kHalfWritten:
       case State::kWritten:
@@ -237,21 +239,21 @@
     }
     return 0;
   }
-  void WriteUpTo(std::size_t end) {
-    if (end == SIZE_MAX) end = answer_.size() - 5;
-    connection_->Write(answer_.substr(written_, end - written_));
+  void WriteUntil(std::size_t end) {
+    if (end == SIZE_MAX) end = response_.size() - 5;
+    connection_->Write(response_.substr(written_, end - written_));
     written_ = end;
   }
-  void ReadOnLater() {
-    answered_early_ = true;
+  void ResumeReadingLater() {
+    responded_early_ = true;
     first_->RunAfter(milliseconds(200), [this] { connection_->ResumeReading(); });
   }
-  Message Other() const {
-    Message other = request_;
-    for (auto& [name, value] : other.headers) {
+  Message RequestOfWarm() const {
+    Message warm = request_;
+    for (auto& [name, value] : warm.headers) {
       if (name == "Shelflink-Request-Id") value = "warm";
     }
-    return other;
+    return warm;
   }
 
   State state_;
@@ -259,36 +261,36 @@
   Endpoint* second_ = nullptr;
   Connection* connection_ = nullptr;
   Message request_;
-  std::string answer_;
+  std::string response_;
   std::size_t written_ = 0;
-  bool answered_early_ = false;
+  bool responded_early_ = false;
 };
 
 void CheckCell(const Cell& cell, const std::string& path, const Result& result) {
   Exchange exchange(cell.state, path);
-  exchange.Happen(cell.event);
+  exchange.Trigger(cell.event);
   exchange.fixture.Run(milliseconds(cell.event == Event::kSilence ? 4000 : 600));
-  const Message answer = exchange.client->NextResponse();
-  BOOST_TEST(exchange.SentElsewhere() == (result.elsewhere ? 1U : 0U));
+  const Message response = exchange.client->NextResponse();
+  BOOST_TEST(exchange.CountSentElsewhere() == (result.elsewhere ? 1U : 0U));
   exchange.CheckWritten();
   const bool open = exchange.connection().open();
-  BOOST_TEST(exchange.AskAfter().body == "first:after");
-  if (!cell.kept)
-    BOOST_TEST(exchange.connection().request_count() <= 2U);  // The warm one and the subject.
+  BOOST_TEST(exchange.SendAnotherRequest().body == "first:after");
+  if (!cell.reusable)
+    BOOST_TEST(exchange.connection().request_count() <= 2U);  // `warm` and the subject.
   if (result.status == kCut) {
-    BOOST_TEST(!answer.whole);
+    BOOST_TEST(!response.whole);
     BOOST_TEST(exchange.client->closed);
     return;
   }
-  BOOST_TEST(answer.Status() == result.status);
+  BOOST_TEST(response.Status() == result.status);
   if (result.status == 200) {
-    BOOST_TEST((answer.body == (result.elsewhere ? "second:subject" : exchange.Body())));
+    BOOST_TEST((response.body == (result.elsewhere ? "second:subject" : exchange.Body())));
   }
-  if (cell.kept) BOOST_TEST(open);
+  if (cell.reusable) BOOST_TEST(open);
   const Message ahead = exchange.client->NextResponse();
   BOOST_TEST(ahead.Status() == 200);
   BOOST_TEST(ahead.body.substr(ahead.body.find(':') + 1) == "ahead");
-  BOOST_TEST(exchange.client->received.empty());  // One answer each, and no more.
+  BOOST_TEST(exchange.client->received.empty());  // Exactly one response each.
 }
 
 }  // namespace
@@ -297,13 +299,13 @@
   for (const Cell& cell : kTable) {
     BOOST_TEST_CONTEXT("state " << static_cast<int>(cell.state) << " event "
                                 << static_cast<int>(cell.event)) {
-      BOOST_TEST_CONTEXT("at most once") { CheckCell(cell, "/post/a", cell.once); }
-      BOOST_TEST_CONTEXT("idempotent") { CheckCell(cell, "/get/a", cell.many); }
+      BOOST_TEST_CONTEXT("at most once") { CheckCell(cell, "/post/a", cell.non_idempotent); }
+      BOOST_TEST_CONTEXT("idempotent") { CheckCell(cell, "/get/a", cell.idempotent); }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_client_that_goes_ends_it_in_every_state) {
+BOOST_AUTO_TEST_CASE(a_client_disconnect_ends_the_exchange_in_every_state) {
   for (const State state : {State::kHalfWritten, State::kWritten, State::kHeadHalfRead,
                             State::kBodyHalfRead, State::kPartsHalfRead}) {
     for (const std::string path : {"/post/a", "/get/a"}) {
@@ -311,20 +313,21 @@
         Exchange exchange(state, path);
         exchange.client->Disconnect();
         exchange.fixture.Run(milliseconds(50));
-        exchange.Happen(Event::kAnswer);  // So that a half-read connection sees its end.
+        exchange.Trigger(
+            Event::kResponse);  // Lets an endpoint that has paused reading see the close.
         exchange.fixture.Run(milliseconds(50));
         BOOST_TEST(!exchange.connection().open());
         exchange.fixture.Run(milliseconds(1000));
-        BOOST_TEST(exchange.SentElsewhere() == 0U);
+        BOOST_TEST(exchange.CountSentElsewhere() == 0U);
         BOOST_TEST(exchange.fixture.calls.active_calls() == 0U);
       }
     }
   }
 }
 
-// ---- Dialling, idle and closing, which no request is on ----
+// ---- Connections without a request: connecting, idle, closing ----
 
-BOOST_AUTO_TEST_CASE(a_client_that_goes_while_its_connection_is_dialled_sends_nothing) {
+BOOST_AUTO_TEST_CASE(a_client_disconnect_while_connecting_sends_nothing) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(proxy_test::RespondWith("x"));
   net::Weather slow;
@@ -339,7 +342,7 @@
   BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(what_comes_on_an_idle_connection_ends_it) {
+BOOST_AUTO_TEST_CASE(data_on_an_idle_connection_closes_it) {
   const std::vector<std::function<void(Connection&, const Message&)>> events = {
       [](Connection& connection, const Message& before) {
         connection.Write(Endpoint::Response(before, "again"));
@@ -372,8 +375,9 @@
   }
 }
 
-// An idle connection that the network has forgotten breaks on use: the request may have run.
-BOOST_AUTO_TEST_CASE(a_request_on_a_dead_idle_connection_is_sent_again_only_where_it_may_be) {
+// The network has dropped the idle connection silently: it fails on use, and the request may have
+// been executed.
+BOOST_AUTO_TEST_CASE(a_request_on_a_dead_idle_connection_is_retried_only_if_idempotent) {
   for (const bool idempotent : {false, true}) {
     BOOST_TEST_CONTEXT(idempotent) {
       ProxyFixture fixture;
@@ -382,7 +386,7 @@
       fixture.Run(milliseconds(500));
       fixture.network.ForgetIdle(endpoint.process.host(), fixture.process.host());
       Endpoint& other = fixture.Add(proxy_test::RespondWith("y"));
-      other.draining = true;  // So that the idle connection is chosen.
+      other.draining = true;  // Makes the proxy choose the idle connection.
       fixture.PublishEndpoints();
       auto two = fixture.SendRequest(Request(idempotent ? "/get/a" : "/post/a", "two"));
       fixture.Run(milliseconds(1000));
@@ -392,14 +396,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_comes_on_a_closing_connection_reaches_nobody) {
+BOOST_AUTO_TEST_CASE(data_on_a_closing_connection_is_discarded) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     connection.Write(Endpoint::Response(request, request.Value("Shelflink-Request-Id"), 200,
                                         "Connection: close\r\n"));
-    const Message kept = request;
-    fixture.endpoints[0]->RunAfter(milliseconds(5), [&connection, kept] {
-      if (connection.open()) connection.Write(Endpoint::Response(kept, "again"));
+    const Message original = request;
+    fixture.endpoints[0]->RunAfter(milliseconds(5), [&connection, original] {
+      if (connection.open()) connection.Write(Endpoint::Response(original, "again"));
     });
   });
   for (const std::string id : {"one", "two", "three"}) {
@@ -411,9 +415,9 @@
   BOOST_TEST(endpoint.connections == 3U);
 }
 
-// ---- Answers whose end is the end of their connection ----
+// ---- Responses that end with their connection ----
 
-BOOST_AUTO_TEST_CASE(an_answer_without_length_is_whole_by_an_end_and_not_by_a_reset) {
+BOOST_AUTO_TEST_CASE(a_response_without_length_is_complete_on_close_and_not_on_reset) {
   for (const std::size_t size : {std::size_t{5}, std::size_t{200'000}}) {
     for (const bool reset : {false, true}) {
       BOOST_TEST_CONTEXT(size << " " << reset) {
@@ -427,11 +431,11 @@
         });
         auto client = fixture.SendRequest(Request("/post/a"));
         fixture.Run(milliseconds(600));
-        const Message answer = client->NextResponse();
+        const Message response = client->NextResponse();
         const bool long_answer = size > 100;
-        BOOST_TEST(answer.whole == (!reset || !long_answer));
-        if (!reset) BOOST_TEST((answer.body == body));
-        if (reset && !long_answer) BOOST_TEST(answer.Status() == 502);
+        BOOST_TEST(response.whole == (!reset || !long_answer));
+        if (!reset) BOOST_TEST((response.body == body));
+        if (reset && !long_answer) BOOST_TEST(response.Status() == 502);
         BOOST_TEST(fixture.RequestCount() == 1U);
       }
     }
--- a/tests/tier/proxy/front_test.cpp
+++ b/tests/tier/proxy/front_test.cpp
@@ -1,4 +1,4 @@
-// Requests and answers of clients: what is owed at the client's end.
+// The proxy's behaviour towards clients: forwarding, rejected requests, limits and shutdown.
 #define BOOST_TEST_MODULE proxy_front
 #include <boost/test/unit_test.hpp>
 
@@ -13,7 +13,7 @@
 using proxy_test::RespondWith;
 using proxy_test::SampleConfiguration;
 
-BOOST_AUTO_TEST_CASE(passes_request_and_answer_on) {
+BOOST_AUTO_TEST_CASE(forwards_request_and_response) {
   ProxyFixture fixture;
   Endpoint& endpoint =
       fixture.Add(RespondWith("the bytes", "X-More: yes\r\nKeep-Alive: timeout=5\r\n"));
@@ -22,28 +22,28 @@
                                   "X-Other: kept\r\nConnection: X-Hop, keep-alive\r\nX-Hop: no\r\n"
                                   "Shelflink-Tenant: forged\r\nShelflink-Credential: key-1\r\n"));
   fixture.Run(milliseconds(100));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.Status() == 200);
-  BOOST_TEST(answer.body == "the bytes");
-  BOOST_TEST(answer.Value("Shelflink-Response-Stamp") == "stamp.1");
-  BOOST_TEST(answer.Value("X-More") == "yes");
-  BOOST_TEST(answer.Count("Keep-Alive") == 0U);
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.Status() == 200);
+  BOOST_TEST(response.body == "the bytes");
+  BOOST_TEST(response.Value("Shelflink-Response-Stamp") == "stamp.1");
+  BOOST_TEST(response.Value("X-More") == "yes");
+  BOOST_TEST(response.Count("Keep-Alive") == 0U);
   BOOST_REQUIRE(endpoint.requests.size() == 1U);
-  const Message& seen = endpoint.requests.front();
-  BOOST_TEST(seen.start_line == "POST /post/one?q=1%202 HTTP/1.1");
-  BOOST_TEST(seen.body == "prompt");
-  BOOST_TEST(seen.Value("Host") == "a.example");
-  BOOST_TEST(seen.Value("X-Other") == "kept");
-  BOOST_TEST(seen.Value("Shelflink-Request-Id") == "9c41d07be2a35f68");
-  BOOST_TEST(seen.Value("Shelflink-Expect-Instance") == "i-0");
-  BOOST_TEST(seen.Count("X-Hop") == 0U);
-  BOOST_TEST(seen.Count("Connection") == 0U);
-  BOOST_TEST(seen.Count("Shelflink-Tenant") == 0U);
-  BOOST_TEST(seen.Count("Shelflink-Credential") == 0U);
-  const int left = std::stoi(seen.Value("Shelflink-Deadline-Ms"));
-  BOOST_TEST(left <= 3000);
-  BOOST_TEST(left >= 2950);
+  const Message& received = endpoint.requests.front();
+  BOOST_TEST(received.start_line == "POST /post/one?q=1%202 HTTP/1.1");
+  BOOST_TEST(received.body == "prompt");
+  BOOST_TEST(received.Value("Host") == "a.example");
+  BOOST_TEST(received.Value("X-Other") == "kept");
+  BOOST_TEST(received.Value("Shelflink-Request-Id") == "9c41d07be2a35f68");
+  BOOST_TEST(received.Value("Shelflink-Expect-Instance") == "i-0");
+  BOOST_TEST(received.Count("X-Hop") == 0U);
+  BOOST_TEST(received.Count("Connection") == 0U);
+  BOOST_TEST(received.Count("Shelflink-Tenant") == 0U);
+  BOOST_TEST(received.Count("Shelflink-Credential") == 0U);
+  const int remaining_ms = std::stoi(received.Value("Shelflink-Deadline-Ms"));
+  BOOST_TEST(remaining_ms <= 3000);
+  BOOST_TEST(remaining_ms >= 2950);
 }
 
 BOOST_AUTO_TEST_CASE(tenant_comes_from_the_key) {
@@ -66,7 +66,7 @@
   BOOST_TEST(fixture.usage["ten"] == 1);
 }
 
-BOOST_AUTO_TEST_CASE(key_that_was_taken_away_is_refused_on_the_next_request) {
+BOOST_AUTO_TEST_CASE(revoked_key_is_rejected_on_the_next_request) {
   ProxyFixture fixture;
   fixture.Add(RespondWith("x"));
   auto client = fixture.SendRequest(Request("/keyed/a", "01", "Shelflink-Credential: key-2\r\n"));
@@ -81,7 +81,7 @@
   BOOST_TEST(client->NextResponse().Status() == 401);
 }
 
-BOOST_AUTO_TEST_CASE(takes_a_body_in_chunks_and_passes_it_with_its_length) {
+BOOST_AUTO_TEST_CASE(forwards_a_chunked_body_with_its_length) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x"));
   auto client = fixture.SendRequest(
@@ -98,7 +98,7 @@
   BOOST_TEST(endpoint.requests.front().Count("Transfer-Encoding") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(answers_pipelined_requests_in_order) {
+BOOST_AUTO_TEST_CASE(responds_to_pipelined_requests_in_order) {
   ProxyFixture fixture;
   fixture.Add([](Endpoint::Connection& connection, const Message& request) {
     connection.Write(Endpoint::Response(request, request.Value("Shelflink-Request-Id")));
@@ -112,62 +112,64 @@
   BOOST_TEST(client->NextResponse().body == "04");
 }
 
-// ---- What cannot be used is answered or closed, and never passed on ----
+// ---- Invalid requests are rejected and never forwarded ----
 
 namespace {
 
-struct BadRequest {
+struct InvalidRequest {
   const char* name;
   std::string text;
-  int status;  // 0: closed.
+  int status;  // 0: the connection is closed.
 };
 
-std::string Lines(const std::string& lines) {
-  return "POST /post/a HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 01\r\n" + lines;
+std::string PostRequest(const std::string& header_lines) {
+  return "POST /post/a HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 01\r\n" + header_lines;
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(bad_requests_are_never_passed_on) {
+BOOST_AUTO_TEST_CASE(invalid_requests_are_never_forwarded) {
   const std::string huge(20'000, 'x');
-  const std::vector<BadRequest> all = {
-      {"two lengths", Lines("Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"), 400},
-      {"the same length twice", Lines("Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc"), 400},
-      {"a list of lengths", Lines("Content-Length: 3, 3\r\n\r\nabc"), 400},
-      {"a signed length", Lines("Content-Length: +3\r\n\r\nabc"), 400},
+  const std::vector<InvalidRequest> invalid_requests = {
+      {"two lengths", PostRequest("Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"), 400},
+      {"the same length twice", PostRequest("Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc"),
+       400},
+      {"a list of lengths", PostRequest("Content-Length: 3, 3\r\n\r\nabc"), 400},
+      {"a signed length", PostRequest("Content-Length: +3\r\n\r\nabc"), 400},
       {"length and chunks",
-       Lines("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 400},
+       PostRequest("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 400},
       {"chunks and length",
-       Lines("Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n"), 400},
-      {"an unknown coding", Lines("Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"), 400},
-      {"a coding in disguise", Lines("Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"), 400},
+       PostRequest("Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n"), 400},
+      {"an unknown coding", PostRequest("Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"), 400},
+      {"a coding in disguise", PostRequest("Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"), 400},
       {"a bare line feed", "POST /post/a HTTP/1.1\nHost: a.example\n\n", 400},
-      {"a bare line feed in the headers", Lines("X-A: b\nContent-Length: 0\r\n\r\n"), 400},
-      {"a folded header", Lines("X-A: b\r\n c\r\nContent-Length: 0\r\n\r\n"), 400},
-      {"a header without a name", Lines(": b\r\nContent-Length: 0\r\n\r\n"), 400},
-      {"a space before the colon", Lines("X-A : b\r\nContent-Length: 0\r\n\r\n"), 400},
+      {"a bare line feed in the headers", PostRequest("X-A: b\nContent-Length: 0\r\n\r\n"), 400},
+      {"a folded header", PostRequest("X-A: b\r\n c\r\nContent-Length: 0\r\n\r\n"), 400},
+      {"a header without a name", PostRequest(": b\r\nContent-Length: 0\r\n\r\n"), 400},
+      {"a space before the colon", PostRequest("X-A : b\r\nContent-Length: 0\r\n\r\n"), 400},
       {"no host", "POST /post/a HTTP/1.1\r\nShelflink-Request-Id: 01\r\nContent-Length: 0\r\n\r\n",
        400},
-      {"two hosts", Lines("Host: b.example\r\nContent-Length: 0\r\n\r\n"), 400},
-      {"two ids", Lines("Shelflink-Request-Id: 02\r\nContent-Length: 0\r\n\r\n"), 400},
+      {"two hosts", PostRequest("Host: b.example\r\nContent-Length: 0\r\n\r\n"), 400},
+      {"two ids", PostRequest("Shelflink-Request-Id: 02\r\nContent-Length: 0\r\n\r\n"), 400},
       {"no id", "POST /post/a HTTP/1.1\r\nHost: a.example\r\nContent-Length: 0\r\n\r\n", 400},
       {"no path", "POST * HTTP/1.1\r\nHost: a.example\r\nContent-Length: 0\r\n\r\n", 400},
-      {"too large a head", Lines("X-A: " + huge + "\r\nContent-Length: 0\r\n\r\n"), 431},
-      {"too large a body", Lines("Content-Length: 5000000\r\n\r\n"), 413},
-      {"a chunk size that is none", Lines("Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n"), 400},
+      {"too large a head", PostRequest("X-A: " + huge + "\r\nContent-Length: 0\r\n\r\n"), 431},
+      {"too large a body", PostRequest("Content-Length: 5000000\r\n\r\n"), 413},
+      {"a chunk size that is none", PostRequest("Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n"),
+       400},
       {"no HTTP", "hello there\r\n\r\n", 400},
       {"another protocol's start", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400},
   };
-  for (const BadRequest& bad : all) {
-    BOOST_TEST_CONTEXT(bad.name) {
+  for (const InvalidRequest& invalid : invalid_requests) {
+    BOOST_TEST_CONTEXT(invalid.name) {
       ProxyFixture fixture;
       Endpoint& endpoint = fixture.Add(RespondWith("x"));
-      auto client = fixture.SendRequest(bad.text);
+      auto client = fixture.SendRequest(invalid.text);
       fixture.Run(milliseconds(1000));
-      const Message answer = client->NextResponse();
-      BOOST_TEST(answer.Status() == bad.status);
+      const Message response = client->NextResponse();
+      BOOST_TEST(response.Status() == invalid.status);
       BOOST_TEST(endpoint.requests.empty());
-      BOOST_TEST(answer.Count("Shelflink-Response-Stamp") == 0U);
+      BOOST_TEST(response.Count("Shelflink-Response-Stamp") == 0U);
     }
   }
 }
@@ -192,13 +194,13 @@
   const std::string head =
       "POST /post/a HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 01\r\n"
       "Transfer-Encoding: chunked\r\n\r\n";
-  auto over = fixture.SendRequest(head + Endpoint::Chunk(std::string(60, 'a')) +
-                                  Endpoint::Chunk(std::string(60, 'b')) + "0\r\n\r\n");
-  auto within = fixture.SendRequest(head + Endpoint::Chunk(std::string(60, 'a')) +
-                                    Endpoint::Chunk(std::string(40, 'b')) + "0\r\n\r\n");
+  auto above_limit = fixture.SendRequest(head + Endpoint::Chunk(std::string(60, 'a')) +
+                                         Endpoint::Chunk(std::string(60, 'b')) + "0\r\n\r\n");
+  auto at_limit = fixture.SendRequest(head + Endpoint::Chunk(std::string(60, 'a')) +
+                                      Endpoint::Chunk(std::string(40, 'b')) + "0\r\n\r\n");
   fixture.Run(milliseconds(100));
-  BOOST_TEST(over->NextResponse().Status() == 413);
-  BOOST_TEST(within->NextResponse().Status() == 200);
+  BOOST_TEST(above_limit->NextResponse().Status() == 413);
+  BOOST_TEST(at_limit->NextResponse().Status() == 200);
   BOOST_TEST(endpoint.requests.size() == 1U);
 }
 
@@ -222,16 +224,16 @@
   BOOST_TEST(endpoint.requests.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(half_a_request_for_ever_is_ended) {
-  const std::vector<std::string> halves = {"POST /post/a HT", Lines(""),
-                                           Lines("Content-Length: 5\r\n\r\nab")};
-  for (const std::string& half : halves) {
-    BOOST_TEST_CONTEXT(half) {
+BOOST_AUTO_TEST_CASE(an_incomplete_request_times_out) {
+  const std::vector<std::string> incomplete_requests = {"POST /post/a HT", PostRequest(""),
+                                                        PostRequest("Content-Length: 5\r\n\r\nab")};
+  for (const std::string& incomplete : incomplete_requests) {
+    BOOST_TEST_CONTEXT(incomplete) {
       ProxyFixture fixture;
       Endpoint& endpoint = fixture.Add(RespondWith("x"));
-      auto client = fixture.SendRequest(half);
+      auto client = fixture.SendRequest(incomplete);
       fixture.Run(milliseconds(3000));
-      BOOST_TEST(!client->closed);  // The limit is the client's due.
+      BOOST_TEST(!client->closed);  // The client may use the whole limit.
       fixture.Run(milliseconds(2000));
       BOOST_TEST(client->NextResponse().Status() == 408);
       BOOST_TEST(client->closed);
@@ -241,12 +243,12 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(connections_may_rest_as_long_as_the_limits_say) {
+BOOST_AUTO_TEST_CASE(connections_may_be_idle_up_to_the_configured_limit) {
   ProxyFixture fixture;
   fixture.Add(RespondWith("x"));
   auto fresh = fixture.Dial();
   auto used = fixture.SendRequest(Request("/post/a", "01"));
-  fixture.Run(milliseconds(12'000));  // Four fifths of 15 s.
+  fixture.Run(milliseconds(12'000));  // Four fifths of the limit of 15 s.
   BOOST_TEST(used->NextResponse().Status() == 200);
   used->Send(Request("/post/a", "02"));
   fresh->Send(Request("/post/a", "03"));
@@ -257,30 +259,31 @@
   BOOST_TEST(used->closed);
 }
 
-BOOST_AUTO_TEST_CASE(leaving_serves_what_comes_while_the_platform_looks_away) {
+BOOST_AUTO_TEST_CASE(shutdown_serves_connections_until_the_platform_notices) {
   ProxyFixture fixture;
   fixture.Add([&](Endpoint::Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 40, milliseconds(50));
   });
   auto idle = fixture.SendRequest(Request("/stream/a", "00"));
   fixture.Run(milliseconds(20));
-  auto half = fixture.SendRequest(Lines("Content-Length: 5\r\n\r\nab"));
+  auto incomplete = fixture.SendRequest(PostRequest("Content-Length: 5\r\n\r\nab"));
   fixture.Run(milliseconds(20));
   bool done = false;
   fixture.drain.Leave(false);
   fixture.front.Shutdown([&] { done = true; });
   fixture.Run(milliseconds(2000));
-  auto late = fixture.SendRequest(Request("/stream/a", "01"));  // The platform has not noticed yet.
-  half->Send("cde");
+  auto late = fixture.SendRequest(
+      Request("/stream/a", "01"));  // The platform has not noticed the drain yet.
+  incomplete->Send("cde");
   fixture.Run(milliseconds(1000));
-  BOOST_TEST(idle->NextResponse().whole);  // It had begun before the drain.
+  BOOST_TEST(idle->NextResponse().whole);  // It had started before the drain.
   BOOST_TEST(idle->closed);
   BOOST_TEST(!done);
   fixture.Run(milliseconds(3000));
-  const Message answer = late->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.Value("Connection") == "close");
-  BOOST_TEST(half->NextResponse().Status() == 200);
+  const Message response = late->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.Value("Connection") == "close");
+  BOOST_TEST(incomplete->NextResponse().Status() == 200);
   fixture.Run(milliseconds(1000));
   BOOST_TEST(done);
 }
--- a/tests/tier/proxy/live_rules_test.cpp
+++ b/tests/tier/proxy/live_rules_test.cpp
@@ -1,5 +1,5 @@
-// Rules for clients' live requests and streams: what is handed on, how long it may take, what ends
-// it, and what must not.
+// Rules for clients' requests and streams: forwarded headers, deadlines, and what may and may not
+// end a request.
 #define BOOST_TEST_MODULE proxy_live_rules
 #include <boost/test/unit_test.hpp>
 
@@ -34,9 +34,9 @@
 
 }  // namespace
 
-// ---- What is handed on ----
+// ---- Forwarded headers ----
 
-BOOST_AUTO_TEST_CASE(the_protocols_headers_pass_whatever_connection_names) {
+BOOST_AUTO_TEST_CASE(protocol_headers_are_forwarded_even_if_connection_lists_them) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x"));
   auto client = fixture.SendRequest(
@@ -53,8 +53,8 @@
   BOOST_TEST(request.Count("X-Hop") == 0U);
 }
 
-// With it any client could have every endpoint answer 421, which takes endpoints out of use.
-BOOST_AUTO_TEST_CASE(a_clients_expect_version_is_not_passed_on) {
+// Otherwise any client could make every endpoint respond 421, which removes endpoints from use.
+BOOST_AUTO_TEST_CASE(expect_version_of_a_client_is_not_forwarded) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x"));
   auto client = fixture.SendRequest(Request("/post/a", "01", "Expect-Version: 99\r\n"));
@@ -63,16 +63,16 @@
   BOOST_TEST(endpoint.requests.front().Count("Expect-Version") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(versions_pass_in_heads_and_events_also_over_a_resumption) {
+BOOST_AUTO_TEST_CASE(versions_are_forwarded_in_heads_and_events_across_a_resumption) {
   ProxyFixture fixture;
   int runs = 0;
   const std::string changed = "versions: 8\nid: 3\ndata: token 3\n\n";
   const auto behaviour = [&](Connection& connection, const Message& request) {
-    const bool again = runs++ > 0;
-    connection.Write(Endpoint::Head(request, std::string("Versions: ") + (again ? "8" : "7") +
+    const bool resumed = runs++ > 0;
+    connection.Write(Endpoint::Head(request, std::string("Versions: ") + (resumed ? "8" : "7") +
                                                  "\r\nContent-Type: text/event-stream\r\n"
                                                  "Transfer-Encoding: chunked\r\n"));
-    if (!again) {
+    if (!resumed) {
       connection.Write(Endpoint::Chunk(Events(1, 2)) + Endpoint::Chunk("versions: 8\nid: 3\nda"));
       return fixture.endpoints[0]->RunAfter(milliseconds(20),
                                             [&connection] { connection.Reset(); });
@@ -83,16 +83,16 @@
   fixture.Add(behaviour);
   auto client = fixture.SendRequest(Request("/resume/a"));
   fixture.Run(milliseconds(500));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.Value("Versions") == "7");  // The head is the first endpoint's.
-  BOOST_TEST(answer.Count("Versions") == 1U);
-  BOOST_TEST(answer.body == Events(1, 2) + changed + Events(4, 5));
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.Value("Versions") == "7");  // From the head of the first endpoint.
+  BOOST_TEST(response.Count("Versions") == 1U);
+  BOOST_TEST(response.body == Events(1, 2) + changed + Events(4, 5));
 }
 
-// ---- How much time an endpoint is told ----
+// ---- Deadlines sent to endpoints ----
 
-BOOST_AUTO_TEST_CASE(the_time_left_counts_from_the_requests_first_byte) {
+BOOST_AUTO_TEST_CASE(the_deadline_counts_from_the_requests_first_byte) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x"));
   const std::string request = Request("/post/a");
@@ -105,12 +105,12 @@
   BOOST_TEST(DeadlineOf(endpoint.requests.front()) > 2200);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_sent_ahead_waits_at_its_own_cost) {
+BOOST_AUTO_TEST_CASE(the_deadline_of_a_pipelined_request_includes_its_wait) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
-    const Message kept = request;
-    fixture.endpoints[0]->RunAfter(milliseconds(600), [&connection, kept] {
-      connection.Write(Endpoint::Response(kept, "x"));
+    const Message original = request;
+    fixture.endpoints[0]->RunAfter(milliseconds(600), [&connection, original] {
+      connection.Write(Endpoint::Response(original, "x"));
     });
   });
   auto client = fixture.SendRequest(Request("/post/a", "01") + Request("/post/a", "02"));
@@ -119,7 +119,7 @@
   BOOST_TEST(DeadlineOf(endpoint.requests.back()) <= 2400);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_clients_deadline_it_is_the_routes_time) {
+BOOST_AUTO_TEST_CASE(without_a_client_deadline_the_routes_timeout_is_sent) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x"));
   auto client = fixture.SendRequest(WithoutDeadline("/post/a"));
@@ -128,7 +128,7 @@
   BOOST_TEST(DeadlineOf(endpoint.requests.front()) > 3900);
 }
 
-BOOST_AUTO_TEST_CASE(a_deadline_with_a_fraction_is_heeded) {
+BOOST_AUTO_TEST_CASE(a_deadline_with_a_fraction_is_accepted) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add(RespondWith("x"));
   auto client = fixture.SendRequest(
@@ -138,7 +138,7 @@
   BOOST_TEST(DeadlineOf(endpoint.requests.front()) <= 1500);
 }
 
-BOOST_AUTO_TEST_CASE(sent_again_it_is_told_what_is_left) {
+BOOST_AUTO_TEST_CASE(a_retry_is_sent_the_remaining_time) {
   ProxyFixture fixture;
   int runs = 0;
   const auto behaviour = [&](Connection& connection, const Message& request) {
@@ -150,19 +150,19 @@
   auto client = fixture.SendRequest(Request("/get/a"));
   fixture.Run(milliseconds(1200));
   BOOST_TEST(client->NextResponse().Status() == 200);
-  std::vector<std::int64_t> told;
+  std::vector<std::int64_t> deadlines;
   for (const auto& endpoint : fixture.endpoints) {
-    for (const Message& request : endpoint->requests) told.push_back(DeadlineOf(request));
+    for (const Message& request : endpoint->requests) deadlines.push_back(DeadlineOf(request));
   }
-  std::sort(told.begin(), told.end());
-  BOOST_REQUIRE(told.size() == 2U);
-  BOOST_TEST(told.front() <= 2100);
-  BOOST_TEST(told.back() <= 3000);
+  std::sort(deadlines.begin(), deadlines.end());
+  BOOST_REQUIRE(deadlines.size() == 2U);
+  BOOST_TEST(deadlines.front() <= 2100);
+  BOOST_TEST(deadlines.back() <= 3000);
 }
 
-// ---- When it is over ----
+// ---- Timeouts and silence ----
 
-BOOST_AUTO_TEST_CASE(a_body_that_still_comes_at_the_routes_time_is_answered_then) {
+BOOST_AUTO_TEST_CASE(a_body_that_is_incomplete_at_the_routes_timeout_is_408) {
   auto configuration = SampleConfiguration();
   configuration.limits.header_timeout = milliseconds(60'000);
   ProxyFixture fixture(1, configuration);
@@ -173,11 +173,12 @@
     fixture.Run(milliseconds(490));
     client->Send("p");
   }
-  BOOST_TEST(client->NextResponse().Status() == 408);  // It has not run and will not.
+  BOOST_TEST(client->NextResponse().Status() ==
+             408);  // Promises that the request was not executed.
   BOOST_TEST(endpoint.requests.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_client_that_does_not_read_holds_nothing_beyond_the_routes_time) {
+BOOST_AUTO_TEST_CASE(a_client_that_does_not_read_is_cut_off_at_the_routes_timeout) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     connection.Write(Endpoint::StreamHead(request));
@@ -203,20 +204,20 @@
   });
   for (const std::string path : {"/stream/a", "/resume/a"}) {
     BOOST_TEST_CONTEXT(path) {
-      const std::size_t left = endpoint.disconnects;
+      const std::size_t disconnects = endpoint.disconnects;
       auto client = fixture.SendRequest(Request(path));
       fixture.Run(milliseconds(2950));
       BOOST_TEST(!client->closed);
-      BOOST_TEST(endpoint.disconnects == left);
+      BOOST_TEST(endpoint.disconnects == disconnects);
       fixture.Run(milliseconds(200));  // The client's deadline.
       BOOST_TEST(client->closed);
       BOOST_TEST(!client->NextResponse().whole);
-      BOOST_TEST(endpoint.disconnects == left + 1);
+      BOOST_TEST(endpoint.disconnects == disconnects + 1);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(silence_alone_does_not_end_an_answer_that_cannot_go_on_elsewhere) {
+BOOST_AUTO_TEST_CASE(silence_alone_does_not_end_a_response_that_cannot_be_resumed) {
   ProxyFixture fixture;
   const std::string body(200'000, 'b');
   const auto behaviour = [&](Connection& connection, const Message& request) {
@@ -234,9 +235,9 @@
   BOOST_TEST(fixture.RequestCount() == 1U);
 }
 
-// ---- The client has gone ----
+// ---- Disconnected clients ----
 
-BOOST_AUTO_TEST_CASE(nothing_is_sent_for_a_client_that_left_while_the_proxy_stood_still) {
+BOOST_AUTO_TEST_CASE(nothing_is_sent_for_a_client_that_disconnected_while_the_proxy_was_suspended) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       ProxyFixture fixture(seed);
@@ -258,9 +259,9 @@
   }
 }
 
-// ---- Configurations that come and go meanwhile ----
+// ---- Configuration changes during a request ----
 
-BOOST_AUTO_TEST_CASE(what_is_under_way_outlives_its_route_service_key_and_endpoint) {
+BOOST_AUTO_TEST_CASE(a_running_request_survives_removal_of_its_route_service_key_and_endpoint) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 20, milliseconds(50));
@@ -279,16 +280,16 @@
   fixture.view.endpoints = std::make_shared<shelflink::cluster::EndpointList>();
   fixture.calls.OnView(fixture.view);
   fixture.Run(milliseconds(1500));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.body == Events(1, 20));
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.body == Events(1, 20));
 }
 
 BOOST_AUTO_TEST_CASE(without_a_configuration_everything_is_503) {
   net::VirtualNet network(1);
   {
     net::VirtualProcess process(network, 0x0a010001, "proxy", 1000);
-    net::VirtualProcess outside(network, 0x0a090001, "clients", 1000);
+    net::VirtualProcess client_process(network, 0x0a090001, "clients", 1000);
     kelpspring::Log log(process, [](std::string_view) {});
     kelpspring::SocketBudget budget{500, 0, nullptr, nullptr};
     kelpspring::Drain drain;
@@ -304,7 +305,7 @@
         Request("/post/a", "01", "", std::string(5 << 20, 'p'))};
     for (std::size_t number = 0; number < requests.size(); ++number) {
       BOOST_TEST_CONTEXT(number) {
-        Client client(outside, front.address());
+        Client client(client_process, front.address());
         client.Send(requests[number]);
         network.RunUntil(network.Now() + milliseconds(1000));
         BOOST_TEST(client.NextResponse().Status() == 503);
@@ -316,29 +317,29 @@
 
 // ---- Streams that end with their connection ----
 
-BOOST_AUTO_TEST_CASE(a_stream_without_chunks_that_ends_inside_an_event_is_not_whole) {
+BOOST_AUTO_TEST_CASE(an_unchunked_stream_that_ends_inside_an_event_is_truncated) {
   for (const bool resumable : {false, true}) {
     BOOST_TEST_CONTEXT(resumable) {
       ProxyFixture fixture;
       int runs = 0;
       const auto behaviour = [&](Connection& connection, const Message& request) {
-        const bool again = runs++ > 0;
+        const bool resumed = runs++ > 0;
         connection.Write(Endpoint::Head(request, "Content-Type: text/event-stream\r\n") +
-                         (again ? Events(3, 4) : Events(1, 2) + "id: 3\ndata: tok"));
+                         (resumed ? Events(3, 4) : Events(1, 2) + "id: 3\ndata: tok"));
         connection.Close();
       };
       fixture.Add(behaviour);
       fixture.Add(behaviour);
       auto client = fixture.SendRequest(Request(resumable ? "/resume/a" : "/stream/a"));
       fixture.Run(milliseconds(500));
-      const Message answer = client->NextResponse();
-      BOOST_TEST(answer.whole == resumable);
-      BOOST_TEST(answer.body == Events(1, resumable ? 4 : 2));
+      const Message response = client->NextResponse();
+      BOOST_TEST(response.whole == resumable);
+      BOOST_TEST(response.body == Events(1, resumable ? 4 : 2));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_without_chunks_is_whole_by_its_end) {
+BOOST_AUTO_TEST_CASE(an_unchunked_stream_is_complete_on_close) {
   ProxyFixture fixture;
   fixture.Add([&](Connection& connection, const Message& request) {
     connection.Write(Endpoint::Head(request, "Content-Type: text/event-stream\r\n") + Events(1, 4));
@@ -346,19 +347,19 @@
   });
   auto client = fixture.SendRequest(Request("/stream/a"));
   fixture.Run(milliseconds(500));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.body == Events(1, 4));
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.body == Events(1, 4));
 }
 
-// ---- Answers that begin before their request's body has been read ----
+// ---- Responses that start before the endpoint has read the request's body ----
 
-BOOST_AUTO_TEST_CASE(an_early_stream_or_long_answer_passes_while_the_body_goes_out) {
+BOOST_AUTO_TEST_CASE(an_early_stream_or_long_response_is_forwarded_while_the_body_is_sent) {
   const std::string body(400'000, 'p');
-  const std::string long_answer(200'000, 'b');
+  const std::string long_response(200'000, 'b');
   for (const bool stream : {false, true}) {
-    for (const bool reads_on : {false, true}) {
-      BOOST_TEST_CONTEXT("stream " << stream << ", reads on " << reads_on) {
+    for (const bool resumes_reading : {false, true}) {
+      BOOST_TEST_CONTEXT("stream " << stream << ", resumes reading " << resumes_reading) {
         ProxyFixture fixture;
         Connection* first = nullptr;
         Endpoint& endpoint = fixture.Add([](Connection&, const Message&) {});
@@ -366,19 +367,19 @@
           if (first != nullptr) return;
           first = &connection;
           connection.PauseReading();
-          if (reads_on)
+          if (resumes_reading)
             endpoint.RunAfter(milliseconds(100), [&connection] { connection.ResumeReading(); });
           if (stream) return endpoint.Stream(connection, request, 20, milliseconds(20));
-          connection.Write(Endpoint::Response(request, long_answer));
+          connection.Write(Endpoint::Response(request, long_response));
         };
         auto client =
             fixture.SendRequest(Request(stream ? "/stream/a" : "/post/a", "01", "", body));
         fixture.Run(milliseconds(1000));
-        const Message answer = client->NextResponse();
-        BOOST_TEST(answer.whole);
-        BOOST_TEST((answer.body == (stream ? Events(1, 20) : long_answer)));
+        const Message response = client->NextResponse();
+        BOOST_TEST(response.whole);
+        BOOST_TEST((response.body == (stream ? Events(1, 20) : long_response)));
         BOOST_REQUIRE(first != nullptr);
-        if (!reads_on) first->ResumeReading();  // So that it sees the end.
+        if (!resumes_reading) first->ResumeReading();  // Lets the endpoint see the close.
         fixture.Run(milliseconds(100));
         BOOST_TEST(!first->open());
         BOOST_TEST(endpoint.connections == 1U);
--- a/tests/tier/proxy/mutants.cmake
+++ b/tests/tier/proxy/mutants.cmake
@@ -36,31 +36,31 @@
   sidecar/upstream.cpp [=[parser_->keep_alive() && incoming_.empty();]=]
   [=[parser_->keep_alive();]=])
 proxy_mutant(a_reset_counts_as_unsent exchange_table
-  a_request_on_a_dead_idle_connection_is_sent_again_only_where_it_may_be
+  a_request_on_a_dead_idle_connection_is_retried_only_if_idempotent
   tier/proxy/endpoint_calls.cpp
   [=[    case OutcomeCode::kReset:
       return FailAttempt(active, key, Outcome::kReset);]=]
   [=[    case OutcomeCode::kReset:
       return EndNotRun(active, key, Outcome::kNeverSent);]=])
 proxy_mutant(a_reset_ends_an_answer exchange_table
-  an_answer_without_length_is_whole_by_an_end_and_not_by_a_reset
+  a_response_without_length_is_complete_on_close_and_not_on_reset
   sidecar/upstream.cpp
   [=[    if (fault != net::Fault::kNone && fault != net::Fault::kEnd) return Broken();
     const bool ended = fault == net::Fault::kEnd;]=]
   [=[    const bool ended = fault != net::Fault::kNone;]=])
 proxy_mutant(a_client_that_left_is_served live_rules
-  nothing_is_sent_for_a_client_that_left_while_the_proxy_stood_still
+  nothing_is_sent_for_a_client_that_disconnected_while_the_proxy_was_suspended
   tier/proxy/http_frontend.cpp [=[return !client->HasLeft();]=] [=[return true;]=])
 proxy_mutant(a_deadline_counts_from_the_last_byte live_rules
-  the_time_left_counts_from_the_requests_first_byte
+  the_deadline_counts_from_the_requests_first_byte
   tier/proxy/http_frontend.cpp [=[call.deadline = began + *wait;]=]
   [=[call.deadline = loop_.Now() + *wait;]=])
 proxy_mutant(a_client_that_does_not_read_holds_for_ever live_rules
-  a_client_that_does_not_read_holds_nothing_beyond_the_routes_time
+  a_client_that_does_not_read_is_cut_off_at_the_routes_timeout
   sidecar/upstream.cpp
   [=[return end_ ? timer_->ArmAt(*end_) : timer_->Cancel();]=] [=[return timer_->Cancel();]=])
 proxy_mutant(a_body_may_come_for_ever live_rules
-  a_body_that_still_comes_at_the_routes_time_is_answered_then
+  a_body_that_is_incomplete_at_the_routes_timeout_is_408
   sidecar/server.cpp
   [=[timer_->ArmAt(whole_by_ ? std::min(*whole_by_, paced_end) : paced_end);]=]
   [=[timer_->ArmAt(paced_end);]=])
@@ -69,18 +69,18 @@
   [=[if (!responsive && (active->request.batch || CanFailOver(*active, key))) return std::nullopt;]=]
   [=[if (!responsive) return std::nullopt;]=])
 proxy_mutant(half_an_event_is_whole live_rules
-  a_stream_without_chunks_that_ends_inside_an_event_is_not_whole
+  an_unchunked_stream_that_ends_inside_an_event_is_truncated
   tier/proxy/endpoint_calls.cpp
   [=[  if (!partial.empty() && active->ends_at_close) return FailAttempt(active, key, Outcome::kReset);]=]
   "")
 proxy_mutant(half_an_event_is_kept_over_a_resumption live_rules
-  versions_pass_in_heads_and_events_also_over_a_resumption
+  versions_are_forwarded_in_heads_and_events_across_a_resumption
   tier/proxy/event_stream.cpp
   [=[  buffer_.clear();
   consumed_ = 0;
   resumed_]=] [=[  resumed_]=])
 proxy_mutant(connection_drops_the_protocols_headers live_rules
-  the_protocols_headers_pass_whatever_connection_names
+  protocol_headers_are_forwarded_even_if_connection_lists_them
   tier/proxy/headers.cpp [=[!IsProtocolHeader(name) && ]=] "")
 
 # The list of endpoints while control stands still.
--- a/tests/tier/proxy/mutation_test.cpp
+++ b/tests/tier/proxy/mutation_test.cpp
@@ -1,5 +1,6 @@
-// One message changed in one place at a time, both ways: whatever comes of it, nothing that was not
-// sent runs, nothing looks whole that is not, and the next request is served as ever.
+// Sends mutated client requests and endpoint responses. Whatever the mutation: no request reaches
+// an endpoint that the client did not send, no incomplete response looks complete, and the next
+// request is served.
 #define BOOST_TEST_MODULE proxy_mutation
 #include <boost/test/unit_test.hpp>
 #include <set>
@@ -13,10 +14,10 @@
 using proxy_test::Message;
 using proxy_test::milliseconds;
 using proxy_test::Mutations;
+using proxy_test::Printable;
 using proxy_test::ProxyFixture;
 using proxy_test::Request;
 using proxy_test::RespondWith;
-using proxy_test::Shown;
 using Connection = Endpoint::Connection;
 
 namespace {
@@ -26,17 +27,17 @@
   return request.start_line.substr(start, request.start_line.rfind(' ') - start);
 }
 
-// What an endpoint may see of what a client has sent.
-void CheckSeen(const Message& seen, const std::string& sent) {
-  BOOST_TEST(sent.find(TargetOf(seen)) != sent.npos);
-  BOOST_TEST(sent.find(seen.Value("Shelflink-Request-Id")) != sent.npos);
-  BOOST_TEST(sent.find(seen.body) != sent.npos);
-  BOOST_TEST(seen.Count("Content-Length") == 1U);
-  BOOST_TEST(seen.Count("Transfer-Encoding") == 0U);
-  BOOST_TEST(seen.Count("Shelflink-Request-Id") == 1U);
-  BOOST_TEST(seen.Count("Shelflink-Credential") == 0U);
-  BOOST_TEST(seen.Count("Host") == 1U);
-  for (const auto& [name, value] : seen.headers) {
+// Checks a request received by an endpoint against the bytes that the client has sent.
+void CheckReceivedRequest(const Message& request, const std::string& sent) {
+  BOOST_TEST(sent.find(TargetOf(request)) != sent.npos);
+  BOOST_TEST(sent.find(request.Value("Shelflink-Request-Id")) != sent.npos);
+  BOOST_TEST(sent.find(request.body) != sent.npos);
+  BOOST_TEST(request.Count("Content-Length") == 1U);
+  BOOST_TEST(request.Count("Transfer-Encoding") == 0U);
+  BOOST_TEST(request.Count("Shelflink-Request-Id") == 1U);
+  BOOST_TEST(request.Count("Shelflink-Credential") == 0U);
+  BOOST_TEST(request.Count("Host") == 1U);
+  for (const auto& [name, value] : request.headers) {
     BOOST_TEST(name.find_first_of(" \t\r\n") == name.npos);
     BOOST_TEST(value.find_first_of("\r\n") == value.npos);
     if (Lower(name) == "shelflink-tenant") BOOST_TEST(value == "ten");
@@ -44,19 +45,19 @@
 }
 
 void CheckClientMessage(ProxyFixture& fixture, const std::string& text) {
-  BOOST_TEST_CONTEXT(Shown(text)) {
+  BOOST_TEST_CONTEXT(Printable(text)) {
     Endpoint& endpoint = *fixture.endpoints.front();
     endpoint.requests.clear();
     auto client = fixture.SendRequest(text);
     fixture.Run(milliseconds(30));
     client->Disconnect();
-    for (const Message& seen : endpoint.requests) CheckSeen(seen, text);
+    for (const Message& request : endpoint.requests) CheckReceivedRequest(request, text);
     while (true) {
-      const Message answer = client->NextResponse();
-      if (!answer.whole) break;
-      const bool success = answer.Status() == 200;
-      BOOST_TEST((answer.Value("Shelflink-Response-Stamp") == "stamp.1") == success);
-      if (success) BOOST_TEST(answer.body == "served");
+      const Message response = client->NextResponse();
+      if (!response.whole) break;
+      const bool success = response.Status() == 200;
+      BOOST_TEST((response.Value("Shelflink-Response-Stamp") == "stamp.1") == success);
+      if (success) BOOST_TEST(response.body == "served");
     }
     fixture.Run(milliseconds(10));
   }
@@ -64,7 +65,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(clients_requests_with_a_length) {
+BOOST_AUTO_TEST_CASE(client_requests_with_a_length) {
   ProxyFixture fixture;
   fixture.Add(RespondWith("served"));
   const std::string& text = proxy_test::kRequestWithLength;
@@ -75,24 +76,24 @@
   BOOST_TEST(fixture.calls.active_calls() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(clients_requests_in_chunks) {
+BOOST_AUTO_TEST_CASE(client_requests_in_chunks) {
   ProxyFixture fixture;
   fixture.Add(RespondWith("served"));
   const std::string& text = proxy_test::kRequestInChunks;
   const std::string next =
       "GET /get/b HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 0c0d\r\n\r\n";
   for (const std::string& mutation : Mutations(text)) {
-    BOOST_TEST_CONTEXT(Shown(mutation)) {
+    BOOST_TEST_CONTEXT(Printable(mutation)) {
       Endpoint& endpoint = *fixture.endpoints.front();
       endpoint.requests.clear();
       auto client = fixture.SendRequest(mutation + next);
       fixture.Run(milliseconds(30));
       client->Disconnect();
-      for (const Message& seen : endpoint.requests) {
-        BOOST_TEST(seen.Count("Transfer-Encoding") == 0U);
-        BOOST_TEST(seen.body.size() <= mutation.size() + next.size());
-        // Nothing of the next request was taken for this one's body but by its own length.
-        if (seen.Value("Shelflink-Request-Id") == "0c0d") BOOST_TEST(seen.body.empty());
+      for (const Message& request : endpoint.requests) {
+        BOOST_TEST(request.Count("Transfer-Encoding") == 0U);
+        BOOST_TEST(request.body.size() <= mutation.size() + next.size());
+        // The body of the next request must not contain bytes of this one.
+        if (request.Value("Shelflink-Request-Id") == "0c0d") BOOST_TEST(request.body.empty());
       }
       fixture.Run(milliseconds(10));
     }
@@ -102,9 +103,9 @@
 
 namespace {
 
-// An endpoint that answers the first request with that text, and the others well.
-void CheckAnswer(const std::string& path, const std::string& text, bool may_pass_body) {
-  BOOST_TEST_CONTEXT(Shown(text)) {
+// The endpoint sends `text` as the response to the first request and responds correctly to others.
+void CheckResponse(const std::string& path, const std::string& text, bool may_pass_body) {
+  BOOST_TEST_CONTEXT(Printable(text)) {
     ProxyFixture fixture;
     bool first = true;
     fixture.Add([&](Connection& connection, const Message& request) {
@@ -117,17 +118,17 @@
     });
     auto client = fixture.SendRequest(Request(path, "0a0b"));
     fixture.Run(milliseconds(50));
-    // While the first may still be waited for.
+    // Sent while the proxy may still wait for the first response.
     auto next = fixture.SendRequest(Request("/post/a", "0c0d"));
     fixture.Run(milliseconds(300));
     BOOST_TEST(next->NextResponse().body == "the next one's");
-    const Message answer = client->NextResponse();
-    BOOST_TEST(answer.Status() != 503);
-    BOOST_TEST(answer.Status() != 429);
-    if (answer.Status() / 100 == 2) {
-      BOOST_TEST(answer.Value("Shelflink-Request-Id") == "0a0b");
-      BOOST_TEST(answer.Count("Shelflink-Response-Stamp") >= 1U);
-      if (answer.whole) BOOST_TEST((may_pass_body || !answer.body.empty()));
+    const Message response = client->NextResponse();
+    BOOST_TEST(response.Status() != 503);
+    BOOST_TEST(response.Status() != 429);
+    if (response.Status() / 100 == 2) {
+      BOOST_TEST(response.Value("Shelflink-Request-Id") == "0a0b");
+      BOOST_TEST(response.Count("Shelflink-Response-Stamp") >= 1U);
+      if (response.whole) BOOST_TEST((may_pass_body || !response.body.empty()));
     }
     BOOST_TEST(fixture.endpoints[0]->requests.size() == 2U);
   }
@@ -135,23 +136,23 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(endpoints_answers) {
+BOOST_AUTO_TEST_CASE(endpoint_responses) {
   const std::string text =
       "HTTP/1.1 200 OK\r\nShelflink-Request-Id: 0a0b\r\nShelflink-Response-Stamp: 3e1b\r\n"
       "Keep-Alive: timeout=5\r\nContent-Length: 5\r\n\r\nbytes";
-  for (const std::string& mutation : Mutations(text)) CheckAnswer("/post/a", mutation, true);
+  for (const std::string& mutation : Mutations(text)) CheckResponse("/post/a", mutation, true);
 }
 
-BOOST_AUTO_TEST_CASE(endpoints_streams) {
+BOOST_AUTO_TEST_CASE(endpoint_streams) {
   const std::string text =
       "HTTP/1.1 200 OK\r\nShelflink-Request-Id: 0a0b\r\nShelflink-Response-Stamp: 3e1b\r\n"
       "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" +
       Endpoint::Chunk(Endpoint::EventText(1)) + Endpoint::Chunk(Endpoint::EventText(2)) +
       "0\r\n\r\n";
-  for (const std::string& mutation : Mutations(text)) CheckAnswer("/stream/a", mutation, true);
+  for (const std::string& mutation : Mutations(text)) CheckResponse("/stream/a", mutation, true);
 }
 
-BOOST_AUTO_TEST_CASE(answers_that_end_early_never_look_whole) {
+BOOST_AUTO_TEST_CASE(truncated_responses_never_look_complete) {
   const std::string sized =
       "HTTP/1.1 200 OK\r\nShelflink-Request-Id: 0a0b\r\nShelflink-Response-Stamp: 3e1b\r\n"
       "Content-Length: 5\r\n\r\nbytes";
@@ -163,7 +164,7 @@
   for (const auto& [path, text] :
        {std::pair<std::string, std::string>{"/post/a", sized}, {"/stream/a", stream}}) {
     for (std::size_t length = 0; length < text.size(); ++length) {
-      BOOST_TEST_CONTEXT(Shown(text.substr(0, length))) {
+      BOOST_TEST_CONTEXT(Printable(text.substr(0, length))) {
         ProxyFixture fixture;
         const std::string part = text.substr(0, length);
         fixture.Add([&](Connection& connection, const Message&) {
@@ -172,12 +173,12 @@
         });
         auto client = fixture.SendRequest(Request(path, "0a0b"));
         fixture.Run(milliseconds(100));
-        const Message answer = client->NextResponse();
-        if (answer.Status() == 200) {
-          BOOST_TEST(!answer.whole);
+        const Message response = client->NextResponse();
+        if (response.Status() == 200) {
+          BOOST_TEST(!response.whole);
           BOOST_TEST(client->closed);
         } else {
-          BOOST_TEST(answer.Status() == 502);
+          BOOST_TEST(response.Status() == 502);
         }
       }
     }
--- a/tests/tier/proxy/mutations.h
+++ b/tests/tier/proxy/mutations.h
@@ -1,4 +1,4 @@
-// Texts that differ from a proper one in one place, and the proper ones.
+// Valid requests and their mutations: texts that differ from a valid one in one place.
 #ifndef TESTS_TIER_PROXY_MUTATIONS_H_
 #define TESTS_TIER_PROXY_MUTATIONS_H_
 
@@ -15,50 +15,52 @@
     "POST /post/a HTTP/1.1\r\nHost: a.example\r\nShelflink-Request-Id: 0a0b\r\n"
     "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
 
-// Every text that differs from the given one in one place.
+// Mutations of `text`: each cut, each byte deleted, doubled, replaced or preceded by another byte,
+// and each line deleted, doubled or swapped with the next.
 inline std::vector<std::string> Mutations(const std::string& text) {
-  const std::string others(" \t\r\n:,;0a\0\x80", 11);
-  std::vector<std::string> all;
-  for (std::size_t at = 0; at < text.size(); ++at) {
-    all.push_back(text.substr(0, at));
-    all.push_back(text.substr(0, at) + text.substr(at + 1));
-    all.push_back(text.substr(0, at) + text[at] + text.substr(at));
-    for (const char other : others) {
-      if (other == text[at]) continue;
-      all.push_back(text.substr(0, at) + other + text.substr(at + 1));
-      all.push_back(text.substr(0, at) + other + text.substr(at));
+  const std::string replacements(" \t\r\n:,;0a\0\x80", 11);
+  std::vector<std::string> mutations;
+  for (std::size_t position = 0; position < text.size(); ++position) {
+    mutations.push_back(text.substr(0, position));
+    mutations.push_back(text.substr(0, position) + text.substr(position + 1));
+    mutations.push_back(text.substr(0, position) + text[position] + text.substr(position));
+    for (const char replacement : replacements) {
+      if (replacement == text[position]) continue;
+      mutations.push_back(text.substr(0, position) + replacement + text.substr(position + 1));
+      mutations.push_back(text.substr(0, position) + replacement + text.substr(position));
     }
   }
-  // Each line left out, doubled, or exchanged with the next.
+  // Each line deleted, doubled, or swapped with the next.
   std::size_t start = 0;
   while (start < text.size()) {
     const std::size_t end = text.find('\n', start);
     if (end == text.npos) break;
     const std::string line = text.substr(start, end + 1 - start);
-    all.push_back(text.substr(0, start) + text.substr(end + 1));
-    all.push_back(text.substr(0, start) + line + line + text.substr(end + 1));
+    mutations.push_back(text.substr(0, start) + text.substr(end + 1));
+    mutations.push_back(text.substr(0, start) + line + line + text.substr(end + 1));
     const std::size_t next = text.find('\n', end + 1);
     if (next != text.npos) {
-      all.push_back(text.substr(0, start) + text.substr(end + 1, next - end) + line +
-                    text.substr(next + 1));
+      mutations.push_back(text.substr(0, start) + text.substr(end + 1, next - end) + line +
+                          text.substr(next + 1));
     }
     start = end + 1;
   }
-  return all;
+  return mutations;
 }
 
-inline std::string Shown(const std::string& text) {
-  std::string shown;
+// `text` with control characters made visible.
+inline std::string Printable(const std::string& text) {
+  std::string printable;
   for (const char c : text) {
     if (c == '\r') {
-      shown += "\\r";
+      printable += "\\r";
     } else if (c == '\n') {
-      shown += "\\n";
+      printable += "\\n";
     } else {
-      shown += static_cast<unsigned char>(c) < 0x20 || c == 0x7f ? '?' : c;
+      printable += static_cast<unsigned char>(c) < 0x20 || c == 0x7f ? '?' : c;
     }
   }
-  return shown;
+  return printable;
 }
 
 }  // namespace proxy_test
--- a/tests/tier/proxy/path_cost.cpp
+++ b/tests/tier/proxy/path_cost.cpp
@@ -1,10 +1,12 @@
-// Processor time of the proxy's path, by the project's own connections and by libsoup:
-// `tier_proxy_path_cost own|soup REQUESTS EVENTS [AT_ONCE]`. Clients and endpoint are in this
-// process, the proxy is a child whose time the system counts. Prints microseconds of it a request.
+// Measures the CPU time that the proxy needs per request, with the project's own connections and
+// with libsoup: `tier_proxy_path_cost own|soup REQUESTS EVENTS [AT_ONCE]`. Clients and endpoint run
+// in this process, the proxy in a child process whose CPU time is read from the system. Prints
+// microseconds per request.
 //
-// The child `own` is the proxy's front and calls on net::GlibLoop; `soup` is the least that libsoup
-// can do in their place: take the request whole, send it on, pass the answer on as it comes. It
-// checks no key and no instance, joins no runs and admits everything.
+// The child `own` runs HttpFrontend and EndpointCalls on net::GlibLoop. `soup` is a minimal proxy
+// with libsoup for comparison: it reads the complete request, forwards it, and forwards the
+// response as it arrives. It checks no API key and no instance, resumes no streams and has no
+// admission control.
 #include <libsoup/soup.h>
 #include <sys/prctl.h>
 #include <sys/resource.h>
@@ -28,12 +30,12 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kAtOnce = 20;              // Requests under way, where the call does not tell.
-constexpr auto kGap = milliseconds(10);  // Between events of one stream.
+constexpr int kDefaultConcurrency = 20;       // Requests in flight without AT_ONCE.
+constexpr auto kEventGap = milliseconds(10);  // Between the events of one stream.
 
-// ---- The proxy by the project's own connections ----
+// ---- The proxy with the project's own connections ----
 
-void TellPort(int pipe, std::uint16_t port) {
+void SendPort(int pipe, std::uint16_t port) {
   if (::write(pipe, &port, sizeof(port)) != sizeof(port)) std::abort();
 }
 
@@ -59,11 +61,11 @@
   view.endpoints = list;
   calls.OnView(view);
   front.SetConfiguration(view.configuration);
-  TellPort(pipe, front.address().port());
+  SendPort(pipe, front.address().port());
   loop.Run();
 }
 
-// ---- The proxy by libsoup ----
+// ---- The proxy with libsoup ----
 
 struct SoupProxy {
   SoupSession* session = nullptr;
@@ -75,35 +77,35 @@
   GInputStream* stream = nullptr;
 };
 
-void CopyHeader(const char* name, const char* value, gpointer to) {
+void CopyHeader(const char* name, const char* value, gpointer headers) {
   const std::string lower = proxy_test::Lower(name);
   if (lower == "content-length" || lower == "transfer-encoding" || lower == "connection" ||
       lower == "keep-alive") {
     return;
   }
-  soup_message_headers_append(static_cast<SoupMessageHeaders*>(to), name, value);
+  soup_message_headers_append(static_cast<SoupMessageHeaders*>(headers), name, value);
 }
 
-void ReadOn(SoupExchange* exchange);
+void ReadMore(SoupExchange* exchange);
 
 void OnSoupBytes(GObject*, GAsyncResult* result, gpointer data) {
   auto* exchange = static_cast<SoupExchange*>(data);
   GBytes* bytes = g_input_stream_read_bytes_finish(exchange->stream, result, nullptr);
   SoupMessageBody* body = soup_server_message_get_response_body(exchange->message);
-  const bool over = bytes == nullptr || g_bytes_get_size(bytes) == 0;
-  over ? soup_message_body_complete(body) : soup_message_body_append_bytes(body, bytes);
+  const bool complete = bytes == nullptr || g_bytes_get_size(bytes) == 0;
+  complete ? soup_message_body_complete(body) : soup_message_body_append_bytes(body, bytes);
   if (bytes != nullptr) g_bytes_unref(bytes);
   soup_server_message_unpause(exchange->message);
-  if (!over) return ReadOn(exchange);
+  if (!complete) return ReadMore(exchange);
   g_object_unref(exchange->stream);
   g_object_unref(exchange->message);
   delete exchange;
 }
 
-void ReadOn(SoupExchange* exchange) {
-  constexpr gsize kMost = 16384;
-  g_input_stream_read_bytes_async(exchange->stream, kMost, G_PRIORITY_DEFAULT, nullptr, OnSoupBytes,
-                                  exchange);
+void ReadMore(SoupExchange* exchange) {
+  constexpr gsize kMaxReadBytes = 16384;
+  g_input_stream_read_bytes_async(exchange->stream, kMaxReadBytes, G_PRIORITY_DEFAULT, nullptr,
+                                  OnSoupBytes, exchange);
 }
 
 void OnSoupHead(GObject* session, GAsyncResult* result, gpointer data) {
@@ -118,24 +120,24 @@
   soup_message_headers_set_encoding(headers, SOUP_ENCODING_CHUNKED);
   soup_message_body_set_accumulate(soup_server_message_get_response_body(exchange->message), FALSE);
   g_object_unref(sent);
-  ReadOn(exchange);
+  ReadMore(exchange);
 }
 
 void OnSoupRequest(SoupServer*, SoupServerMessage* message, const char* path, GHashTable*,
                    gpointer data) {
   auto* proxy = static_cast<SoupProxy*>(data);
-  SoupMessage* onward =
+  SoupMessage* forwarded =
       soup_message_new(soup_server_message_get_method(message), (proxy->base + path).c_str());
   soup_message_headers_foreach(soup_server_message_get_request_headers(message), CopyHeader,
-                               soup_message_get_request_headers(onward));
+                               soup_message_get_request_headers(forwarded));
   GBytes* body = soup_message_body_flatten(soup_server_message_get_request_body(message));
-  soup_message_set_request_body_from_bytes(onward, nullptr, body);
+  soup_message_set_request_body_from_bytes(forwarded, nullptr, body);
   g_bytes_unref(body);
   soup_server_message_pause(message);
   auto* exchange = new SoupExchange{SOUP_SERVER_MESSAGE(g_object_ref(message)), nullptr};
-  soup_session_send_async(proxy->session, onward, G_PRIORITY_DEFAULT, nullptr, OnSoupHead,
+  soup_session_send_async(proxy->session, forwarded, G_PRIORITY_DEFAULT, nullptr, OnSoupHead,
                           exchange);
-  g_object_unref(onward);
+  g_object_unref(forwarded);
 }
 
 void RunSoup(int pipe, const net::Address& endpoint) {
@@ -147,7 +149,7 @@
   soup_server_add_handler(server, nullptr, OnSoupRequest, &proxy, nullptr);
   if (!soup_server_listen_local(server, 0, SOUP_SERVER_LISTEN_IPV4_ONLY, nullptr)) std::abort();
   GSList* uris = soup_server_get_uris(server);
-  TellPort(pipe, static_cast<std::uint16_t>(g_uri_get_port(static_cast<GUri*>(uris->data))));
+  SendPort(pipe, static_cast<std::uint16_t>(g_uri_get_port(static_cast<GUri*>(uris->data))));
   g_main_loop_run(g_main_loop_new(nullptr, FALSE));
 }
 
@@ -167,7 +169,7 @@
     Connection(Endpoint& owner, net::StreamPtr stream)
         : owner_(owner),
           stream_(std::move(stream)),
-          timer_(owner.loop_.NewTimer([this] { Next(); })) {
+          timer_(owner.loop_.NewTimer([this] { SendNextEvent(); })) {
       stream_->SetUser(*this);
       stream_->Receive();
     }
@@ -182,16 +184,16 @@
         } else {
           stream_->Write(proxy_test::Endpoint::StreamHead(request));
           sent_ = 0;
-          Next();
+          SendNextEvent();
         }
       }
       stream_->Receive();
     }
     void OnEnd(net::Fault) override { stream_->Close(); }
-    void Next() {
+    void SendNextEvent() {
       if (sent_ == owner_.events_) return void(stream_->Write("0\r\n\r\n"));
       stream_->Write(proxy_test::Endpoint::Chunk(proxy_test::Endpoint::EventText(++sent_)));
-      timer_->ArmAt(owner_.loop_.Now() + kGap);
+      timer_->ArmAt(owner_.loop_.Now() + kEventGap);
     }
 
     Endpoint& owner_;
@@ -204,7 +206,7 @@
   void Accept() {
     listener_->Accept([this](net::Fault fault, net::StreamPtr stream) {
       if (fault == net::Fault::kNone) {
-        lines_.push_back(std::make_unique<Connection>(*this, std::move(stream)));
+        connections_.push_back(std::make_unique<Connection>(*this, std::move(stream)));
       }
       Accept();
     });
@@ -213,19 +215,20 @@
   net::Loop& loop_;
   int events_;
   net::ListenerPtr listener_;
-  std::vector<std::unique_ptr<Connection>> lines_;
+  std::vector<std::unique_ptr<Connection>> connections_;
 };
 
-// Sends its requests one after the other on one connection.
-class Asker : public net::StreamUser {
+// Sends its requests one after the other on one connection; `done` is called after the last
+// response.
+class SequentialClient : public net::StreamUser {
  public:
-  Asker(net::Loop& loop, const net::Address& to, int number, int requests, bool stream,
-        std::function<void()> done)
+  SequentialClient(net::Loop& loop, const net::Address& address, int number, int requests,
+                   bool stream, std::function<void()> done)
       : number_(number),
-        left_(requests),
+        remaining_(requests),
         path_(stream ? "/stream/a" : "/post/a"),
         done_(std::move(done)),
-        stream_(loop.Dial(to, *this)) {}
+        stream_(loop.Dial(address, *this)) {}
 
  private:
   void OnConnected(net::Fault fault) override {
@@ -234,7 +237,7 @@
     stream_->Receive();
   }
   void SendRequest() {
-    const std::string id = std::to_string(number_) + "-" + std::to_string(left_);
+    const std::string id = std::to_string(number_) + "-" + std::to_string(remaining_);
     stream_->Write(
         proxy_test::Request(path_, id,
                             "Shelflink-Model: m\r\nShelflink-Token-Count: 1460,80\r\n"
@@ -243,13 +246,13 @@
   }
   void OnBytes(std::string_view bytes) override {
     text_.append(bytes);
-    const proxy_test::Message answer = proxy_test::TakeMessage(text_, true, false);
-    if (answer.whole) {
-      if (answer.Status() != 200) {
-        std::fprintf(stderr, "%s\n", answer.start_line.c_str());
+    const proxy_test::Message response = proxy_test::TakeMessage(text_, true, false);
+    if (response.whole) {
+      if (response.Status() != 200) {
+        std::fprintf(stderr, "%s\n", response.start_line.c_str());
         std::abort();
       }
-      if (--left_ == 0) {
+      if (--remaining_ == 0) {
         stream_->Close();
         return done_();
       }
@@ -260,7 +263,7 @@
   void OnEnd(net::Fault) override { std::abort(); }
 
   int number_;
-  int left_;
+  int remaining_;
   std::string path_;
   std::function<void()> done_;
   net::StreamPtr stream_;
@@ -271,7 +274,7 @@
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
 }
 
-int Measure(const std::string& how, int requests, int events, int at_once) {
+int Measure(const std::string& proxy_kind, int requests, int events, int concurrency) {
   boost::asio::io_context io;
   net::SocketLoop loop(io);
   Endpoint endpoint(loop, events);
@@ -280,19 +283,20 @@
   const pid_t child = ::fork();
   if (child == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    how == "own" ? RunOwn(pipe[1], endpoint.address()) : RunSoup(pipe[1], endpoint.address());
+    proxy_kind == "own" ? RunOwn(pipe[1], endpoint.address())
+                        : RunSoup(pipe[1], endpoint.address());
     std::exit(0);
   }
   std::uint16_t port = 0;
   if (::read(pipe[0], &port, sizeof(port)) != sizeof(port)) return 1;
   const auto front = net::Address::V4(0x7f000001, port);
-  int running = at_once;
-  std::vector<std::unique_ptr<Asker>> askers;
-  for (int number = 0; number < at_once; ++number) {
-    askers.push_back(
-        std::make_unique<Asker>(loop, front, number, requests / at_once, events > 0, [&] {
-          if (--running == 0) io.stop();
-        }));
+  int active_clients = concurrency;
+  std::vector<std::unique_ptr<SequentialClient>> clients;
+  for (int number = 0; number < concurrency; ++number) {
+    clients.push_back(std::make_unique<SequentialClient>(loop, front, number,
+                                                         requests / concurrency, events > 0, [&] {
+                                                           if (--active_clients == 0) io.stop();
+                                                         }));
   }
   io.run();
   ::kill(child, SIGKILL);
@@ -301,9 +305,9 @@
   const double user = SecondsOf(used.ru_utime);
   const double system = SecondsOf(used.ru_stime);
   std::printf("%s: %d requests of %d events: %.1f us a request (user %.1f, system %.1f), %ld KB\n",
-              how.c_str(), requests, events, (user + system) * 1e6 / requests,
+              proxy_kind.c_str(), requests, events, (user + system) * 1e6 / requests,
               user * 1e6 / requests, system * 1e6 / requests, used.ru_maxrss);
-  askers.clear();
+  clients.clear();
   return 0;
 }
 
@@ -316,5 +320,5 @@
     return 2;
   }
   return Measure(argv[1], std::atoi(argv[2]), std::atoi(argv[3]),
-                 argc == 5 ? std::atoi(argv[4]) : kAtOnce);
+                 argc == 5 ? std::atoi(argv[4]) : kDefaultConcurrency);
 }
--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -1,4 +1,5 @@
-// Streams: events as they arrive, whole, in order, once; and resumption within one answer.
+// Event streams: each event is forwarded on arrival, complete, in order and once, and a broken
+// stream is resumed within the same response.
 #define BOOST_TEST_MODULE proxy_stream
 #include <boost/test/unit_test.hpp>
 
@@ -24,27 +25,27 @@
 
 }  // namespace
 
-// ---- The splitter ----
+// ---- EventStream ----
 
-BOOST_AUTO_TEST_CASE(events_go_on_whole_however_they_are_cut) {
+BOOST_AUTO_TEST_CASE(only_complete_events_are_forwarded_for_any_split) {
   const std::string text = "versions: 3\n" + Events(1, 5) + ": still here\n\n" + Events(6, 6);
   for (std::size_t size = 1; size <= text.size(); ++size) {
     EventStream stream;
-    std::string out;
+    std::string forwarded;
     for (std::size_t at = 0; at < text.size(); at += size) {
       const auto output = stream.Feed(std::string_view(text).substr(at, size));
       BOOST_TEST(!output.broken);
-      out += output.bytes;
-      BOOST_TEST((out.empty() || out.substr(out.size() - 2) == "\n\n"));
+      forwarded += output.bytes;
+      BOOST_TEST((forwarded.empty() || forwarded.substr(forwarded.size() - 2) == "\n\n"));
     }
-    BOOST_TEST(out == text);
+    BOOST_TEST(forwarded == text);
     BOOST_TEST(stream.events() == 6U);
     BOOST_TEST(stream.last_id().value() == 6U);
     BOOST_TEST(stream.incomplete_event().empty());
   }
 }
 
-BOOST_AUTO_TEST_CASE(events_are_told_with_id_and_data) {
+BOOST_AUTO_TEST_CASE(events_are_reported_with_id_and_data) {
   EventStream stream;
   std::vector<shelflink::proxy::Event> events;
   stream.Feed("id: 4\r\ndata: a\r\ndata:b\r\n\r\ndata\n\n",
@@ -56,7 +57,7 @@
   BOOST_TEST(events[1].data.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_further_run_joins_without_gap_or_repeat) {
+BOOST_AUTO_TEST_CASE(a_resumed_run_joins_without_gap_or_repeat) {
   EventStream stream;
   stream.Feed(Events(1, 3) + "id: 4\nda");
   stream.BeginResumedRun();
@@ -67,7 +68,7 @@
   BOOST_TEST(stream.Feed(Events(7, 7)).broken);
 }
 
-BOOST_AUTO_TEST_CASE(ids_that_rise_by_more_join_too) {
+BOOST_AUTO_TEST_CASE(runs_with_non_consecutive_ids_are_joined) {
   EventStream stream;
   stream.Feed("id: 3\ndata: a\n\nid: 8\ndata: b\n\n");
   stream.BeginResumedRun();
@@ -76,13 +77,13 @@
   BOOST_TEST(output.bytes == "id: 12\ndata: c\n\n");
 }
 
-BOOST_AUTO_TEST_CASE(events_without_ids_cannot_be_joined) {
+BOOST_AUTO_TEST_CASE(streams_without_ids_cannot_be_resumed) {
   EventStream stream;
   stream.Feed("data: a\n\n");
   BOOST_TEST(!stream.CanBeginResumedRun());
 }
 
-BOOST_AUTO_TEST_CASE(an_event_without_end_breaks) {
+BOOST_AUTO_TEST_CASE(an_oversized_event_breaks_the_stream) {
   EventStream stream;
   bool broken = false;
   const std::string piece(65536, 'x');
@@ -92,7 +93,7 @@
 
 // ---- Through the proxy ----
 
-BOOST_AUTO_TEST_CASE(events_pass_as_they_arrive) {
+BOOST_AUTO_TEST_CASE(events_are_forwarded_on_arrival) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 5, milliseconds(100));
@@ -101,15 +102,15 @@
   fixture.Run(milliseconds(250));
   BOOST_TEST(client->received_parts.size() == 3U);
   fixture.Run(milliseconds(500));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.body == Events(1, 5));
-  BOOST_TEST(answer.Value("Content-Type") == "text/event-stream");
-  BOOST_TEST(answer.Value("Shelflink-Response-Stamp") == "stamp.1");
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.body == Events(1, 5));
+  BOOST_TEST(response.Value("Content-Type") == "text/event-stream");
+  BOOST_TEST(response.Value("Shelflink-Response-Stamp") == "stamp.1");
   BOOST_TEST(endpoint.requests.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(use_is_counted_with_the_first_event) {
+BOOST_AUTO_TEST_CASE(usage_is_counted_with_the_first_event) {
   auto configuration = proxy_test::SampleConfiguration();
   configuration.routes[2].is_public = false;
   configuration.Index();
@@ -127,34 +128,35 @@
   BOOST_TEST(fixture.usage["ten"] == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_cut_stream_that_cannot_be_resumed_does_not_look_whole) {
+BOOST_AUTO_TEST_CASE(a_cut_stream_that_cannot_be_resumed_looks_truncated) {
   for (const bool reset : {true, false}) {
     ProxyFixture fixture;
-    const auto breaks = [&, reset](Connection& connection, const Message& request) {
+    const auto break_off = [&, reset](Connection& connection, const Message& request) {
       fixture.endpoints[0]->Stream(connection, request, 3, milliseconds(20),
                                    [reset](Connection& cut) {
                                      cut.Write(Endpoint::Chunk("id: 4\ndata: par"));
                                      reset ? cut.Reset() : cut.Close();
                                    });
     };
-    fixture.Add(breaks);
+    fixture.Add(break_off);
     auto client = fixture.SendRequest(Request("/stream/a"));
     fixture.Run(milliseconds(500));
     BOOST_TEST(client->closed);
-    const Message answer = client->NextResponse();
-    BOOST_TEST(!answer.whole);
-    BOOST_TEST(answer.body == Events(1, 3));  // The part of an event is dropped.
+    const Message response = client->NextResponse();
+    BOOST_TEST(!response.whole);
+    BOOST_TEST(response.body == Events(1, 3));  // The incomplete event is dropped.
     BOOST_TEST(fixture.RequestCount() == 1U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_cut_stream_goes_on_elsewhere_in_the_same_answer) {
+BOOST_AUTO_TEST_CASE(a_cut_stream_is_resumed_elsewhere_in_the_same_response) {
   ProxyFixture fixture;
   int runs = 0;
   const auto behaviour = [&](Connection& connection, const Message& request) {
-    Endpoint& own = *fixture.endpoints[request.Value("Shelflink-Expect-Instance") == "i-0" ? 0 : 1];
-    if (runs++ > 0) return own.Stream(connection, request, 6);
-    own.Stream(connection, request, 3, milliseconds(20), [](Connection& cut) {
+    Endpoint& self =
+        *fixture.endpoints[request.Value("Shelflink-Expect-Instance") == "i-0" ? 0 : 1];
+    if (runs++ > 0) return self.Stream(connection, request, 6);
+    self.Stream(connection, request, 3, milliseconds(20), [](Connection& cut) {
       cut.Write(Endpoint::Chunk("id: 4\ndata: par"));
       cut.Reset();
     });
@@ -163,10 +165,10 @@
   fixture.Add(behaviour);
   auto client = fixture.SendRequest(Request("/resume/a"));
   fixture.Run(milliseconds(1000));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.body == Events(1, 6));
-  BOOST_TEST(answer.Count("Shelflink-Response-Stamp") == 1U);
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.body == Events(1, 6));
+  BOOST_TEST(response.Count("Shelflink-Response-Stamp") == 1U);
   BOOST_TEST(fixture.RequestCount() == 2U);
   std::string continued;
   for (const auto& endpoint : fixture.endpoints) {
@@ -178,7 +180,7 @@
   BOOST_TEST(continued == "3");
 }
 
-BOOST_AUTO_TEST_CASE(a_gap_at_the_join_breaks_the_answer) {
+BOOST_AUTO_TEST_CASE(a_gap_at_the_resumption_breaks_the_response) {
   ProxyFixture fixture;
   int runs = 0;
   const auto behaviour = [&](Connection& connection, const Message& request) {
@@ -195,12 +197,12 @@
   auto client = fixture.SendRequest(Request("/resume/a"));
   fixture.Run(milliseconds(500));
   BOOST_TEST(client->closed);
-  const Message answer = client->NextResponse();
-  BOOST_TEST(!answer.whole);
-  BOOST_TEST(answer.body == Events(1, 3));
+  const Message response = client->NextResponse();
+  BOOST_TEST(!response.whole);
+  BOOST_TEST(response.body == Events(1, 3));
 }
 
-BOOST_AUTO_TEST_CASE(the_clients_own_last_event_id_is_passed_on) {
+BOOST_AUTO_TEST_CASE(the_clients_last_event_id_is_forwarded) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 6);
@@ -211,7 +213,7 @@
   BOOST_TEST(endpoint.requests.front().Value("Last-Event-Id") == "4");
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_whose_end_alone_was_lost_is_completed) {
+BOOST_AUTO_TEST_CASE(a_stream_that_lost_only_its_end_is_completed) {
   ProxyFixture fixture;
   int runs = 0;
   const auto behaviour = [&](Connection& connection, const Message& request) {
@@ -227,12 +229,12 @@
   fixture.Add(behaviour);
   auto client = fixture.SendRequest(Request("/resume/a"));
   fixture.Run(milliseconds(500));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.body == Events(1, 3));
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.body == Events(1, 3));
 }
 
-BOOST_AUTO_TEST_CASE(resumption_keeps_to_the_limit_of_attempts) {
+BOOST_AUTO_TEST_CASE(resumptions_count_as_attempts) {
   ProxyFixture fixture;
   const auto behaviour = [&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 100, milliseconds(5), nullptr);
@@ -246,31 +248,32 @@
   BOOST_TEST(fixture.RequestCount() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_stream_is_continued_before_its_client_gives_up) {
+BOOST_AUTO_TEST_CASE(a_silent_stream_is_resumed_before_its_client_gives_up) {
   ProxyFixture fixture;
   int runs = 0;
   const auto behaviour = [&](Connection& connection, const Message& request) {
-    Endpoint& own = *fixture.endpoints[request.Value("Shelflink-Expect-Instance") == "i-0" ? 0 : 1];
-    if (runs++ > 0) return own.Stream(connection, request, 6);
-    own.Stream(connection, request, 3, milliseconds(20), [](Connection&) {});
+    Endpoint& self =
+        *fixture.endpoints[request.Value("Shelflink-Expect-Instance") == "i-0" ? 0 : 1];
+    if (runs++ > 0) return self.Stream(connection, request, 6);
+    self.Stream(connection, request, 3, milliseconds(20), [](Connection&) {});
   };
   fixture.Add(behaviour);
   fixture.Add(behaviour);
   auto client = fixture.SendRequest(Request("/resume/a"));
   fixture.Run(milliseconds(1900));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.body == Events(1, 6));
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.body == Events(1, 6));
 }
 
-BOOST_AUTO_TEST_CASE(a_slow_stream_stays_where_its_endpoint_answers_others) {
+BOOST_AUTO_TEST_CASE(a_slow_stream_stays_while_its_endpoint_responds_to_others) {
   ProxyFixture fixture;
   const auto behaviour = [&](Connection& connection, const Message& request) {
-    Endpoint& own = *fixture.endpoints[0];
-    if (request.Value("Shelflink-Request-Id") != "slow") return own.Stream(connection, request, 3);
+    Endpoint& self = *fixture.endpoints[0];
+    if (request.Value("Shelflink-Request-Id") != "slow") return self.Stream(connection, request, 3);
     connection.Write(Endpoint::StreamHead(request));
-    own.RunAfter(milliseconds(1800),
-                 [&connection] { connection.Write(Endpoint::Chunk(Events(1, 1)) + "0\r\n\r\n"); });
+    self.RunAfter(milliseconds(1800),
+                  [&connection] { connection.Write(Endpoint::Chunk(Events(1, 1)) + "0\r\n\r\n"); });
   };
   fixture.Add(behaviour);
   auto slow = fixture.SendRequest(Request("/resume/a", "slow"));
@@ -284,8 +287,9 @@
   BOOST_TEST(fixture.RequestCount() == 7U);
 }
 
-// Its client leaves after that silence; until then, and if it stays, nothing is cut (LOST).
-BOOST_AUTO_TEST_CASE(a_silent_stream_ends_when_its_client_gives_up_and_not_before) {
+// Clients abandon a stream after such a silence. The proxy must not cut the stream before that, nor
+// if the client stays (LOST).
+BOOST_AUTO_TEST_CASE(a_silent_stream_ends_only_when_its_client_disconnects) {
   ProxyFixture fixture;
   Endpoint& endpoint = fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 3, milliseconds(20), [](Connection&) {});
@@ -300,7 +304,7 @@
   BOOST_TEST(!client->NextResponse().whole);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_ends_with_the_routes_time) {
+BOOST_AUTO_TEST_CASE(a_stream_ends_at_the_routes_timeout) {
   ProxyFixture fixture;
   fixture.Add([&](Connection& connection, const Message& request) {
     fixture.endpoints[0]->Stream(connection, request, 1000, milliseconds(50));
@@ -313,7 +317,7 @@
   BOOST_TEST(!client->NextResponse().whole);
 }
 
-BOOST_AUTO_TEST_CASE(refused_before_its_first_event_goes_on_at_another) {
+BOOST_AUTO_TEST_CASE(a_stream_refused_before_its_first_event_is_sent_elsewhere) {
   ProxyFixture fixture;
   int runs = 0;
   const auto behaviour = [&](Connection& connection, const Message& request) {
@@ -340,7 +344,7 @@
   });
   auto client = fixture.SendRequest(Request("/stream/a"));
   fixture.Run(milliseconds(1000));
-  const Message answer = client->NextResponse();
-  BOOST_TEST(answer.whole);
-  BOOST_TEST(answer.body.size() > 8 * large.size());
+  const Message response = client->NextResponse();
+  BOOST_TEST(response.whole);
+  BOOST_TEST(response.body.size() > 8 * large.size());
 }
