--- a/tests/tier/proxy/endpoint_test.cpp
+++ b/tests/tier/proxy/endpoint_test.cpp
@@ -171,7 +171,7 @@
   BOOST_TEST(broken.RequestCount() == 2U);  // maxAttempts
 }
 
-BOOST_AUTO_TEST_CASE(an_endpoints_failure_goes_back_as_it_is) {
+BOOST_AUTO_TEST_CASE(an_endpoints_error_response_is_forwarded_unchanged) {
   for (const int status : {500, 504, 404, 400, 422, 302}) {
     BOOST_TEST_CONTEXT(status) {
       ProxyFixture fixture;
@@ -528,7 +528,8 @@
   BOOST_TEST(only->connections == 2U);
 }
 
-// The same for an earlier request with the same id: batch items are sent repeatedly.
+// Guards against taking a second response to an earlier request with the same id for the response
+// to the current one: batch items are sent repeatedly with one id.
 BOOST_AUTO_TEST_CASE(a_second_response_to_an_earlier_request_with_the_same_id_is_not_used) {
   ProxyFixture fixture(11);
   Endpoint* only = nullptr;
--- a/tests/tier/proxy/proxy_fixture.h
+++ b/tests/tier/proxy/proxy_fixture.h
@@ -52,51 +52,51 @@
         std::count_if(headers.begin(), headers.end(),
                       [&](const auto& header) { return Lower(header.first) == Lower(name); }));
   }
-  int Status() const { return first.size() > 12 ? std::stoi(first.substr(9, 3)) : 0; }
+  int Status() const { return start_line.size() > 12 ? std::stoi(start_line.substr(9, 3)) : 0; }
 };
 
 // Parses the first message in `text`. A complete message is removed from `text`; otherwise `text`
-// stays unchanged and the parsed part is returned with `whole` false. `answer`: the message is a
-// response. `ended`: the peer has closed the connection.
-inline Message TakeMessage(std::string& text, bool answer, bool ended) {
+// stays unchanged and the parsed part is returned with `whole` false. `is_response`: the message is
+// a response. `peer_closed`: the peer has closed the connection.
+inline Message TakeMessage(std::string& text, bool is_response, bool peer_closed) {
   Message message;
-  const std::size_t end = text.find("\r\n\r\n");
-  if (end == text.npos) return message;
-  std::size_t at = 0;
-  while (at < end) {
-    const std::size_t stop = text.find("\r\n", at);
-    const std::string line = text.substr(at, stop - at);
-    if (at == 0) {
+  const std::size_t head_end = text.find("\r\n\r\n");
+  if (head_end == text.npos) return message;
+  std::size_t position = 0;
+  while (position < head_end) {
+    const std::size_t line_end = text.find("\r\n", position);
+    const std::string line = text.substr(position, line_end - position);
+    if (position == 0) {
       message.start_line = line;
     } else {
       const std::size_t colon = line.find(':');
       message.headers.emplace_back(line.substr(0, colon), line.substr(colon + 2));
     }
-    at = stop + 2;
+    position = line_end + 2;
   }
-  at = end + 4;
+  position = head_end + 4;
   if (Lower(message.Value("Transfer-Encoding")) == "chunked") {
     while (true) {
-      const std::size_t stop = text.find("\r\n", at);
-      if (stop == text.npos) return message;
-      const std::size_t size = std::stoul(text.substr(at, stop - at), nullptr, 16);
-      if (text.size() < stop + 2 + size + 2) return message;
-      message.body += text.substr(stop + 2, size);
-      at = stop + 2 + size + 2;
+      const std::size_t line_end = text.find("\r\n", position);
+      if (line_end == text.npos) return message;
+      const std::size_t size = std::stoul(text.substr(position, line_end - position), nullptr, 16);
+      if (text.size() < line_end + 2 + size + 2) return message;
+      message.body += text.substr(line_end + 2, size);
+      position = line_end + 2 + size + 2;
       if (size == 0) break;
     }
   } else if (message.Count("Content-Length") > 0) {
     const std::size_t size = std::stoul(message.Value("Content-Length"));
-    message.body = text.substr(at, size);
+    message.body = text.substr(position, size);
     if (message.body.size() < size) return message;
-    at += size;
-  } else if (answer) {
-    message.body = text.substr(at);
-    if (!ended) return message;
-    at = text.size();
+    position += size;
+  } else if (is_response) {
+    message.body = text.substr(position);
+    if (!peer_closed) return message;
+    position = text.size();
   }
   message.whole = true;
-  text.erase(0, at);
+  text.erase(0, position);
   return message;
 }
 
--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -331,7 +331,7 @@
   BOOST_TEST(client->NextResponse().body == Events(1, 3));
 }
 
-BOOST_AUTO_TEST_CASE(a_client_that_does_not_read_holds_its_endpoint_up_only) {
+BOOST_AUTO_TEST_CASE(backpressure_by_a_client_loses_no_data) {
   ProxyFixture fixture;
   const std::string large(60'000, 'd');
   fixture.Add([&](Connection& connection, const Message& request) {
--- a/tests/tier/tier_seeds/mutants.cmake
+++ b/tests/tier/tier_seeds/mutants.cmake
@@ -20,9 +20,9 @@
 tier_seeds_mutant(any_base_is_current configuration/book.cpp
   [=[  if (order.base_version != current.version) {]=]
   [=[  if (order.base_version > current.version) {]=] PkgConfig::GLIB)
-tier_seeds_mutant(surplus_answers_are_taken proxy/answer_reading.cpp
+tier_seeds_mutant(surplus_answers_are_taken proxy/response_classifier.cpp
   [=[if (!id.empty() && id != expected.request_id)]=] [=[if (id.empty())]=])
-tier_seeds_mutant(all_requests_may_run_again proxy/live_call.cpp
+tier_seeds_mutant(all_requests_may_run_again proxy/active_call.cpp
   [=[      repeatable(request.batch]=] [=[      repeatable(true || request.batch]=])
 tier_seeds_mutant(quotas_are_not_heeded batch/job_book.cpp
   [=[  if (!Fits(submit, owner, TokensOf(submit.items))) {]=] [=[  if (false) {]=] PkgConfig::GLIB)
