--- a/src/tier/proxy/batch_requests.cpp
+++ b/src/tier/proxy/batch_requests.cpp
@@ -60,7 +60,7 @@
   return submission ? 504 : 503;
 }
 
-HttpResponse MakeResponse(unsigned status, const char* type, std::string body) {
+HttpResponse ResponseOf(unsigned status, const char* type, std::string body) {
   HttpResponse response{http::int_to_status(status), 11};
   response.set(http::field::content_type, type);
   response.body() = std::move(body);
@@ -84,7 +84,7 @@
   BatchSubmission submission{std::move(job), std::move(request.body())};
   batch.Submit(caller, std::move(submission), [client](const Result<void>& result) {
     if (!RespondIfError(client, result, true)) {
-      client->Respond(MakeResponse(202, "application/json", "{}"));
+      client->Respond(ResponseOf(202, "application/json", "{}"));
     }
   });
 }
@@ -101,7 +101,7 @@
   }
   batch.Read(caller, read, [client, from = *position](const Result<BatchPage>& page) {
     if (RespondIfError(client, page)) return;
-    client->Respond(MakeResponse(200, "application/json", PageJson(page.value(), from)));
+    client->Respond(ResponseOf(200, "application/json", PageJson(page.value(), from)));
   });
 }
 
@@ -111,15 +111,14 @@
   if (item.empty()) return client->RespondPlain(400, "id: expected the id of an item\n");
   batch.Body(caller, job, item, [client](const Result<std::string>& body) {
     if (RespondIfError(client, body)) return;
-    client->Respond(MakeResponse(200, "application/octet-stream", body.value()));
+    client->Respond(ResponseOf(200, "application/octet-stream", body.value()));
   });
 }
 
 void EndJob(const ClientPtr& client, const std::string& job, const BatchCaller& caller,
             BatchJobService& batch) {
   batch.End(caller, job, [client](const Result<void>& result) {
-    if (!RespondIfError(client, result))
-      client->Respond(MakeResponse(200, "application/json", "{}"));
+    if (!RespondIfError(client, result)) client->Respond(ResponseOf(200, "application/json", "{}"));
   });
 }
 
--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -26,8 +26,8 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxBufferedResponseBytes =
-    65536;  // A longer response is forwarded in parts.
+// A longer response is forwarded in parts.
+constexpr std::uint64_t kMaxBufferedResponseBytes = 65536;
 constexpr auto kConnectTimeout = milliseconds(250);
 // Interval of checks of a late attempt while its endpoint responds on other calls.
 constexpr auto kLateRecheckInterval = milliseconds(250);
--- a/tests/tier/proxy/exchange_table_test.cpp
+++ b/tests/tier/proxy/exchange_table_test.cpp
@@ -101,8 +101,8 @@
 };
 // clang-format on
 
-constexpr std::size_t kLongBody =
-    400'000;  // More bytes than a connection buffers while the peer does not read.
+// More bytes than a connection buffers while the peer does not read.
+constexpr std::size_t kLongBody = 400'000;
 
 // A fixture whose first endpoint has received the request `subject` and is in the given state.
 class Exchange {
@@ -275,8 +275,8 @@
   exchange.CheckWritten();
   const bool open = exchange.connection().open();
   BOOST_TEST(exchange.SendAnotherRequest().body == "first:after");
-  if (!cell.reusable)
-    BOOST_TEST(exchange.connection().request_count() <= 2U);  // `warm` and the subject.
+  // `warm` and the subject.
+  if (!cell.reusable) BOOST_TEST(exchange.connection().request_count() <= 2U);
   if (result.status == kCut) {
     BOOST_TEST(!response.whole);
     BOOST_TEST(exchange.client->closed);
