--- a/src/tier/batch/hosted_partition.cpp
+++ b/src/tier/batch/hosted_partition.cpp
@@ -359,7 +359,7 @@
 
 void HostedPartition::Scan(std::string_view prefix, const Visitor& visitor) const {
   // The map of a replica lies behind its prefix and an "m".
-  const coordination::KeyValues map(around_.storage, PrefixOf(partition_) + "m");
+  const coordination::PrefixView map(around_.storage, PrefixOf(partition_) + "m");
   coordination::KeyRange range;
   range.from = prefix;
   map.Visit(range, [&](std::string_view key, std::string_view value) {
--- a/src/tier/cluster/core_metrics.h
+++ b/src/tier/cluster/core_metrics.h
@@ -31,10 +31,10 @@
   std::uint64_t epoch = 0;
   std::vector<std::string> replicas;  // Nodes, by the newest record known here.
   std::vector<std::string> witnesses;
-  std::optional<std::string> primary;                 // Its node, where known.
-  std::optional<net::Address> primary_control;        // Where it serves the operator, where known.
-  std::size_t wanted_replicas = 0;                    // Fault tolerance + 1.
-  std::vector<coordination::MemberStanding> members;  // Of the record.
+  std::optional<std::string> primary;               // Its node, where known.
+  std::optional<net::Address> primary_control;      // Where it serves the operator, where known.
+  std::size_t wanted_replicas = 0;                  // Fault tolerance + 1.
+  std::vector<coordination::MemberStatus> members;  // Of the record.
   std::uint64_t contents_entries = 0;
   std::optional<Disk> disk;  // None: it has none.
 };
--- a/src/tier/cluster/core_program.cpp
+++ b/src/tier/cluster/core_program.cpp
@@ -68,12 +68,12 @@
 }
 
 // Whoever is not the primary does not know how the others stand.
-std::vector<coordination::MemberStanding> StandingsOf(const coordination::Group& group) {
-  if (std::optional<coordination::CopiesOfMap> copies = group.copies()) {
+std::vector<coordination::MemberStatus> StandingsOf(const coordination::Group& group) {
+  if (std::optional<coordination::ReplicationStatus> copies = group.replication_status()) {
     return std::move(copies->members);
   }
   const coordination::Record& record = group.member().record();
-  std::vector<coordination::MemberStanding> standings;
+  std::vector<coordination::MemberStatus> standings;
   for (const coordination::CoreMember& member : MembersOf(record)) {
     const bool is_replica = FindDisk(record.replicas, member.disk) != nullptr;
     const bool is_witness = FindDisk(record.witnesses, member.disk) != nullptr;
--- a/src/tier/cluster/core_service.cpp
+++ b/src/tier/cluster/core_service.cpp
@@ -102,7 +102,7 @@
       OnCommitted(writes);
     };
     watcher.role = [this](bool primary, std::uint64_t of_epoch) { OnRole(primary, of_epoch); };
-    watcher.copies = [this] { ObserveCopies(); };
+    watcher.replicas_changed = [this] { ObserveCopies(); };
     replicator.SetWatcher(std::move(watcher));
   }
 
@@ -245,7 +245,8 @@
   void ObserveCopies() {
     if (!Leads()) return;
     const net::Time now = loop.Now();
-    if (const std::optional<coordination::CopiesOfMap> copies = replicator.copies()) {
+    if (const std::optional<coordination::ReplicationStatus> copies =
+            replicator.replication_status()) {
       redundancy.ObserveControl(now, *copies, [this] { return BytesOf(replicator.contents()); });
     }
     if (keeper.Patient()) return;
--- a/src/tier/cluster/core_status.cpp
+++ b/src/tier/cluster/core_status.cpp
@@ -10,7 +10,7 @@
 namespace shelflink::cluster {
 namespace {
 
-using coordination::DiskStanding;
+using coordination::DiskState;
 
 void AddNumber(cJSON* object, const char* name, std::uint64_t value) {
   cJSON_AddNumberToObject(object, name, static_cast<double>(value));
@@ -31,15 +31,15 @@
   return item;
 }
 
-const char* NameOf(DiskStanding standing) {
+const char* NameOf(DiskState standing) {
   switch (standing) {
-    case DiskStanding::kTakesWrites:
+    case DiskState::kTakesWrites:
       return "takes_writes";
-    case DiskStanding::kSilent:
+    case DiskState::kSilent:
       return "silent";
-    case DiskStanding::kRefuses:
+    case DiskState::kRefusesWrites:
       return "refuses";
-    case DiskStanding::kReplaced:
+    case DiskState::kReplaced:
       return "replaced";
   }
   return "silent";
@@ -49,13 +49,13 @@
   cJSON* core = cJSON_AddObjectToObject(status, "core");
   AddNumber(core, "wanted", group.wanted_replicas);
   cJSON* members = cJSON_AddArrayToObject(core, "members");
-  for (const coordination::MemberStanding& member : group.members) {
+  for (const coordination::MemberStatus& member : group.members) {
     cJSON* item = AddItem(members);
     AddText(item, "node", member.member.node);
     AddText(item, "zone", member.member.zone);
     cJSON_AddBoolToObject(item, "replica", static_cast<cJSON_bool>(member.is_replica));
     cJSON_AddBoolToObject(item, "witness", static_cast<cJSON_bool>(member.is_witness));
-    AddText(item, "disk", leads ? NameOf(member.standing) : "unknown");
+    AddText(item, "disk", leads ? NameOf(member.disk_state) : "unknown");
   }
 }
 
--- a/src/tier/cluster/redundancy_watch.cpp
+++ b/src/tier/cluster/redundancy_watch.cpp
@@ -97,7 +97,7 @@
   }
 }
 
-void RedundancyWatch::CountControl(net::Time now, const coordination::CopiesOfMap& copies) {
+void RedundancyWatch::CountControl(net::Time now, const coordination::ReplicationStatus& copies) {
   const std::uint64_t more = copies.bytes_copied - std::min(copies.bytes_copied, control_copied_);
   control_copied_ = copies.bytes_copied;
   const bool was_open = book_.IsOpen(kControlSubject);
@@ -106,9 +106,9 @@
   seen.subject = kControlSubject;
   seen.wanted = copies.wanted;
   std::optional<net::Time> missing_since;
-  for (const coordination::MemberStanding& member : copies.members) {
+  for (const coordination::MemberStatus& member : copies.members) {
     if (!member.is_replica) continue;
-    if (member.standing == coordination::DiskStanding::kTakesWrites) {
+    if (member.disk_state == coordination::DiskState::kTakesWrites) {
       ++seen.whole;
       continue;
     }
--- a/src/tier/cluster/redundancy_watch.h
+++ b/src/tier/cluster/redundancy_watch.h
@@ -55,7 +55,8 @@
   void ObservePartitions(net::Time now, const std::set<std::string>& live);
   // `map_bytes`: of the control state, asked for only while a copy of it is missing.
   template <typename MapBytes>
-  void ObserveControl(net::Time now, const coordination::CopiesOfMap& copies, MapBytes map_bytes) {
+  void ObserveControl(net::Time now, const coordination::ReplicationStatus& copies,
+                      MapBytes map_bytes) {
     CountControl(now, copies);
     if (!book_.IsOpen(kControlSubject)) return;
     book_.OnLeft(kControlSubject, copies.bytes_left ? *copies.bytes_left : map_bytes());
@@ -67,7 +68,7 @@
  private:
   static constexpr CopySubject kControlSubject{CopyKind::kControl, 0};
 
-  void CountControl(net::Time now, const coordination::CopiesOfMap& copies);
+  void CountControl(net::Time now, const coordination::ReplicationStatus& copies);
   void Count(std::uint32_t partition, const std::string& disk, std::uint64_t copied);
   RedundancyBook::Copies CopiesOfRow(std::uint32_t partition,
                                      const std::set<std::string>& live) const;
--- a/src/tier/coordination/catch_up.cpp
+++ b/src/tier/coordination/catch_up.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void KeyValues::Visit(const KeyRange& range, const Visitor& visitor) const {
+void PrefixView::Visit(const KeyRange& range, const Visitor& visitor) const {
   storage_.Scan(prefix_, prefix_ + range.from,
                 [&](std::string_view stored, std::string_view value) {
                   const std::string_view key = stored.substr(prefix_.size());
@@ -40,7 +40,7 @@
                 });
 }
 
-RangeDigest DigestOf(const KeyValues& map, const KeyRange& range) {
+RangeDigest DigestOf(const PrefixView& map, const KeyRange& range) {
   RangeDigest digest{range, kHashStart, 0, 0};
   map.Visit(range, [&](std::string_view key, std::string_view value) {
     Add(digest, key, value);
@@ -49,7 +49,7 @@
   return digest;
 }
 
-std::vector<RangeDigest> SplitDigests(const KeyValues& map, const KeyRange& range,
+std::vector<RangeDigest> SplitDigests(const PrefixView& map, const KeyRange& range,
                                       std::size_t parts) {
   const std::uint64_t keys = DigestOf(map, range).keys;
   const std::uint64_t each = std::max<std::uint64_t>(1, (keys + parts - 1) / parts);
@@ -65,12 +65,12 @@
   return digests;
 }
 
-RangeContents ContentsOf(const KeyValues& map, const KeyRange& range, std::size_t most_bytes) {
+RangeContents ContentsOf(const PrefixView& map, const KeyRange& range, std::size_t max_bytes) {
   RangeContents contents{range, {}};
   std::size_t bytes = 0;
   map.Visit(range, [&](std::string_view key, std::string_view value) {
     const std::size_t size = key.size() + value.size();
-    if (!contents.items.empty() && bytes + size > most_bytes) {
+    if (!contents.items.empty() && bytes + size > max_bytes) {
       contents.range.until = After(contents.items.back().first);
       return false;
     }
@@ -81,8 +81,8 @@
   return contents;
 }
 
-void Replace(const KeyValues& map, const std::string& prefix, const RangeContents& contents,
-             storage::Batch& batch) {
+void ReplaceRange(const PrefixView& map, const std::string& prefix, const RangeContents& contents,
+                  storage::Batch& batch) {
   auto wanted = contents.items.begin();
   const auto put = [&] {
     batch.Put(prefix + wanted->first, wanted->second);
@@ -102,38 +102,38 @@
   while (wanted != contents.items.end()) put();
 }
 
-void RangeRepair::OnDigests(const KeyValues& map, const std::vector<RangeDigest>& digests) {
+void RangeRepair::OnDigests(const PrefixView& map, const std::vector<RangeDigest>& digests) {
   for (auto digest = digests.rbegin(); digest != digests.rend(); ++digest) {
     const RangeDigest own = DigestOf(map, digest->range);
     if (own.digest == digest->digest && own.keys == digest->keys) continue;
     const bool small = digest->keys <= 1 || digest->bytes <= kSmallRangeBytes || own.keys == 0;
-    open_.push_front({digest->range, small});
+    pending_.push_front({digest->range, small});
   }
 }
 
 void RangeRepair::OnContents(const KeyRange& asked, const KeyRange& got) {
   if (got.until != asked.until && !got.until.empty()) {
-    open_.push_front({{got.until, asked.until}, true});
+    pending_.push_front({{got.until, asked.until}, true});
   }
 }
 
-RangeRepair::Wanted RangeRepair::Next() const {
-  Wanted wanted;
-  if (open_.empty()) return wanted;
-  (open_.front().small ? wanted.contents : wanted.digests).push_back(open_.front().range);
+RangeRepair::Request RangeRepair::NextRequest() const {
+  Request wanted;
+  if (pending_.empty()) return wanted;
+  (pending_.front().small ? wanted.contents : wanted.digests).push_back(pending_.front().range);
   return wanted;
 }
 
-bool RangeRepair::Asked(const KeyRange& range, bool contents) const {
-  return !open_.empty() && open_.front().small == contents &&
-         open_.front().range.from == range.from;
+bool RangeRepair::IsPending(const KeyRange& range, bool contents) const {
+  return !pending_.empty() && pending_.front().small == contents &&
+         pending_.front().range.from == range.from;
 }
 
-void RangeRepair::TakeNext() { open_.pop_front(); }
+void RangeRepair::PopPending() { pending_.pop_front(); }
 
 void RangeRepair::Fingerprint(cbor::Writer& out) const {
-  out.Uint(open_.size());
-  for (const Open& open : open_)
+  out.Uint(pending_.size());
+  for (const PendingRange& open : pending_)
     out.Bytes(open.range.from).Bytes(open.range.until).Bool(open.small);
 }
 
--- a/src/tier/coordination/catch_up.h
+++ b/src/tier/coordination/catch_up.h
@@ -17,10 +17,10 @@
 namespace shelflink::coordination {
 
 // A map in a storage: the keys behind a prefix.
-class KeyValues {
+class PrefixView {
  public:
   using Visitor = std::function<bool(std::string_view key, std::string_view value)>;
-  KeyValues(const storage::Storage& storage, std::string prefix)
+  PrefixView(const storage::Storage& storage, std::string prefix)
       : storage_(storage), prefix_(std::move(prefix)) {}
   // The visitor returns false to stop.
   void Visit(const KeyRange& range, const Visitor& visitor) const;
@@ -30,44 +30,44 @@
   std::string prefix_;
 };
 
-RangeDigest DigestOf(const KeyValues& map, const KeyRange& range);
+RangeDigest DigestOf(const PrefixView& map, const KeyRange& range);
 // The range in at most `parts` parts of about equal numbers of keys, without gaps.
-std::vector<RangeDigest> SplitDigests(const KeyValues& map, const KeyRange& range,
+std::vector<RangeDigest> SplitDigests(const PrefixView& map, const KeyRange& range,
                                       std::size_t parts);
-// From the range's start on as much as `most_bytes` allow, one key at least; its range tells how
+// From the range's start on as much as `max_bytes` allow, one key at least; its range tells how
 // far.
-RangeContents ContentsOf(const KeyValues& map, const KeyRange& range, std::size_t most_bytes);
+RangeContents ContentsOf(const PrefixView& map, const KeyRange& range, std::size_t max_bytes);
 // Makes the map in the batch's storage equal to the contents within their range.
-void Replace(const KeyValues& map, const std::string& prefix, const RangeContents& contents,
-             storage::Batch& batch);
+void ReplaceRange(const PrefixView& map, const std::string& prefix, const RangeContents& contents,
+                  storage::Batch& batch);
 
 // What a learner still has to ask for. Bounded: ranges are asked for depth first.
 class RangeRepair {
  public:
-  struct Wanted {
+  struct Request {
     std::vector<KeyRange> digests;
     std::vector<KeyRange> contents;
   };
 
-  void OnDigests(const KeyValues& map, const std::vector<RangeDigest>& digests);
+  void OnDigests(const PrefixView& map, const std::vector<RangeDigest>& digests);
   // `asked`: what was wanted; `got`: what of it has come.
   void OnContents(const KeyRange& asked, const KeyRange& got);
-  bool done() const { return open_.empty(); }
+  bool done() const { return pending_.empty(); }
   // One range a question; it stays open until answered.
-  Wanted Next() const;
-  void TakeNext();  // The first open range has been answered.
+  Request NextRequest() const;
+  void PopPending();  // The first open range has been answered.
   // Whether an answer about this range, of contents or of digests, is to the open question.
-  bool Asked(const KeyRange& range, bool contents) const;
-  const KeyRange& first() const { return open_.front().range; }
+  bool IsPending(const KeyRange& range, bool contents) const;
+  const KeyRange& first_pending() const { return pending_.front().range; }
 
   void Fingerprint(cbor::Writer& out) const;
 
  private:
-  struct Open {
+  struct PendingRange {
     KeyRange range;
     bool small = false;  // Its contents are wanted.
   };
-  std::deque<Open> open_;
+  std::deque<PendingRange> pending_;
 };
 
 }  // namespace shelflink::coordination
--- a/src/tier/coordination/group.cpp
+++ b/src/tier/coordination/group.cpp
@@ -157,9 +157,9 @@
 
 std::vector<CoreMember> Group::members() const { return MembersOf(member_->record()); }
 
-std::optional<CopiesOfMap> Group::copies() const {
+std::optional<ReplicationStatus> Group::replication_status() const {
   if (!is_primary()) return std::nullopt;
-  return member_->copies(loop_.Now());
+  return member_->replication_status(loop_.Now());
 }
 
 void Group::SetSeeds(const std::vector<net::Address>& control_seeds,
@@ -431,9 +431,9 @@
 }
 
 void Group::TellIfCopiesChanged() {
-  const std::size_t there = is_primary() ? member_->replicas_there(loop_.Now()) : 0;
+  const std::size_t there = is_primary() ? member_->responsive_replicas(loop_.Now()) : 0;
   if (there == std::exchange(told_there_, there)) return;
-  if (there > 0 && watcher_.copies) watcher_.copies();
+  if (there > 0 && watcher_.replicas_changed) watcher_.replicas_changed();
 }
 
 // ---- Plans.
@@ -443,7 +443,7 @@
     AnswerLater(std::move(done), MakeError(ErrorCode::kUnavailable, "not the primary"));
     return;
   }
-  if (waiting_.size() >= kMostWaiting) {
+  if (waiting_.size() >= kMaxQueuedPlans) {
     AnswerLater(std::move(done), MakeError(ErrorCode::kExhausted, "too many orders are waiting"));
     return;
   }
@@ -503,7 +503,7 @@
     // Once as an entry of the tail, once in the map.
     if (write.value) bytes += 2 * (write.key.size() + write.value->size());
   }
-  return bytes == 0 || usage.bytes_used + bytes <= usage.bytes_limit / 100 * kMostFullPercent;
+  return bytes == 0 || usage.bytes_used + bytes <= usage.bytes_limit / 100 * kMaxDiskUsePercent;
 }
 
 void Group::Expire(net::Time now) {
--- a/src/tier/coordination/group.h
+++ b/src/tier/coordination/group.h
@@ -8,8 +8,8 @@
 // storage meanwhile, and starts a member of another incarnation from what the disk holds then, as a
 // started process does (docs/design/full-disks.md).
 //
-// Limits: kMostWaiting plans wait; one more is refused (kExhausted). Writes that would fill the
-// storage beyond kMostFullPercent are refused before anything happens.
+// Limits: kMaxQueuedPlans plans wait; one more is refused (kExhausted). Writes that would fill the
+// storage beyond kMaxDiskUsePercent are refused before anything happens.
 #ifndef SHELFLINK_TIER_COORDINATION_GROUP_H_
 #define SHELFLINK_TIER_COORDINATION_GROUP_H_
 
@@ -33,8 +33,8 @@
 
 namespace shelflink::coordination {
 
-constexpr std::size_t kMostWaiting = 256;
-constexpr std::uint64_t kMostFullPercent = 80;
+constexpr std::size_t kMaxQueuedPlans = 256;
+constexpr std::uint64_t kMaxDiskUsePercent = 80;
 
 class Group : public Replicator {
  public:
@@ -66,7 +66,7 @@
   std::uint64_t epoch() const override;
   std::optional<net::Address> primary() const override;
   std::vector<CoreMember> members() const override;
-  std::optional<CopiesOfMap> copies() const override;
+  std::optional<ReplicationStatus> replication_status() const override;
   void Transfer(std::function<void(bool)> done) override;
 
   void SetSeeds(const std::vector<net::Address>& control_seeds, const ProcessSettings& settings);
--- a/src/tier/coordination/member.cpp
+++ b/src/tier/coordination/member.cpp
@@ -19,10 +19,10 @@
       random_(options_.incarnation | 1U) {}
 
 void Member::Start(Step& step, MemberOutput& out) {
-  if (has_disk() && options_.found && record().number == 0 && !witness_.founder()) {
+  if (has_disk() && options_.found && record().number == 0 && !witness_.is_founder()) {
     std::vector<CoreMember> seeds;
     for (const net::Address& seed : options_.seeds) seeds.push_back({"", "", "", seed});
-    witness_.Found(step, std::move(seeds));
+    witness_.Bootstrap(step, std::move(seeds));
     replica_.Found(step);
   }
   if (options_.after_failure) place_lost_at_ = step.now;
--- a/src/tier/coordination/member.h
+++ b/src/tier/coordination/member.h
@@ -20,7 +20,7 @@
 #include <utility>
 #include <vector>
 
-#include "tier/coordination/choice.h"
+#include "tier/coordination/member_selection.h"
 #include "tier/coordination/messages.h"
 #include "tier/coordination/proposer.h"
 #include "tier/coordination/replica.h"
@@ -103,8 +103,8 @@
   const Replica& replica() const { return replica_; }
   std::optional<net::Address> primary_address() const;
   // As the primary: how the members of the record stand, and the copies under way.
-  CopiesOfMap copies(net::Time now) const;
-  std::size_t replicas_there(net::Time now) const;
+  ReplicationStatus replication_status(net::Time now) const;
+  std::size_t responsive_replicas(net::Time now) const;
 
   const Options& options() const { return options_; }
 
@@ -170,7 +170,7 @@
   // Another disk has been heard of at its address.
   bool IsReplaced(const CoreMember& member) const;
   bool Leaves(const std::string& disk, net::Time now) const;
-  MemberStanding StandingOf(const CoreMember& member, net::Time now) const;
+  MemberStatus StandingOf(const CoreMember& member, net::Time now) const;
   // Disks heard of lately that do not leave, this member first.
   std::vector<CoreMember> There(net::Time now, net::Span within) const;
 
--- a/src/tier/coordination/member_change.cpp
+++ b/src/tier/coordination/member_change.cpp
@@ -61,16 +61,16 @@
 }
 
 std::optional<Record> Member::Improved(net::Time now) const {
-  ReplicaSituation situation;
-  situation.least = least_replicas();
-  situation.most = most_replicas();
-  situation.staying = {options_.self};
-  situation.joining = Joining(now);
+  ReplicaCandidates situation;
+  situation.min_count = least_replicas();
+  situation.max_count = most_replicas();
+  situation.responsive = {options_.self};
+  situation.caught_up = Joining(now);
   for (const CoreMember& replica : record().replicas) {
     if (IsSelf(replica.disk)) continue;
     const bool there =
         IsThere(replica.disk, now) && !Owes(replica.disk, now) && !Leaves(replica.disk, now);
-    (there ? situation.staying : situation.silent).push_back(replica);
+    (there ? situation.responsive : situation.silent).push_back(replica);
   }
   PutLikeliestFirst(situation.silent, now);
   Record next = record();
--- a/src/tier/coordination/member_election.cpp
+++ b/src/tier/coordination/member_election.cpp
@@ -44,7 +44,7 @@
 bool Member::MayCampaign() const {
   if (!has_disk() || acting_ || !replica_.complete()) return false;
   if (record().number > 0) return FindDisk(record().replicas, options_.self.disk) != nullptr;
-  return witness_.founder() && IsWitnessOf(record(), options_.self);
+  return witness_.is_founder() && IsWitnessOf(record(), options_.self);
 }
 
 std::size_t Member::Rank() const {
@@ -81,7 +81,7 @@
                          proposer.phase() == Proposer::Phase::kPrepared;
   std::set<net::Address> to;
   for (const CoreMember& witness : proposer.base().witnesses) {
-    if (!proposer.Answered(witness)) to.insert(witness.address);
+    if (!proposer.HasReplied(witness)) to.insert(witness.address);
   }
   if (preparing) {
     for (const CoreMember& replica : proposer.base().replicas) to.insert(replica.address);
@@ -115,7 +115,7 @@
       return;
     }
   }
-  const bool election = !proposal_->planned && !proposal_->proposer.found();
+  const bool election = !proposal_->planned && !proposal_->proposer.earlier_value();
   if (!election) {
     ProposeValue(step, out);
     return;
@@ -134,11 +134,11 @@
   if (!own) own = record().number == 0 ? FoundingRecord(step.now) : ElectionRecord(step.now);
   // Since it was planned, others may have come and gone.
   if (acting_ && !transferring_) own = Improved(step.now);
-  if (!own && !proposer.found()) {
+  if (!own && !proposer.earlier_value()) {
     GiveUp(step);
     return;
   }
-  proposer.Propose(own ? *own : *proposer.found());
+  proposer.Propose(own ? *own : *proposer.earlier_value());
   proposal_->choose_at.reset();
   if (acting_) {
     const Record& value = proposer.value();
@@ -158,7 +158,7 @@
 void Member::GiveUp(const Step& step) {
   const Proposer& proposer = proposal_->proposer;
   round_ = std::max(round_, proposer.blocking().round);
-  const auto lease_left = std::chrono::milliseconds(proposer.lease_left_ms());
+  const auto lease_left = std::chrono::milliseconds(proposer.lease_remaining_ms());
   const net::Span pause = Jitter(options_.lease / 5);
   const auto rank = static_cast<int>(Rank());
   election_at_ = step.now + lease_left + options_.lease / 20 + options_.lease / 8 * rank + pause;
@@ -186,13 +186,13 @@
 }
 
 std::optional<Record> Member::ElectionRecord(net::Time now) const {
-  ReplicaSituation situation;
-  situation.least = least_replicas();
-  situation.most = std::max(most_replicas(), record().replicas.size());
-  situation.staying = {options_.self};
+  ReplicaCandidates situation;
+  situation.min_count = least_replicas();
+  situation.max_count = std::max(most_replicas(), record().replicas.size());
+  situation.responsive = {options_.self};
   for (const CoreMember& replica : record().replicas) {
     if (IsSelf(replica.disk)) continue;
-    (IsThere(replica.disk, now) ? situation.staying : situation.silent).push_back(replica);
+    (IsThere(replica.disk, now) ? situation.responsive : situation.silent).push_back(replica);
   }
   PutLikeliestFirst(situation.silent, now);
   Record next = record();
--- a/src/tier/coordination/member_lease.cpp
+++ b/src/tier/coordination/member_lease.cpp
@@ -114,7 +114,7 @@
                           from.member.disk == record().primary &&
                           from.incarnation == record().incarnation;
   if (by_primary) {
-    reply.granted = has_disk() && witness_.Grant(step.now, from.member.disk, message.number);
+    reply.granted = has_disk() && witness_.GrantLease(step.now, from.member.disk, message.number);
     if (!acting_) AwaitPrimary(step.now);
     if (message.invite && has_disk()) {
       ReplicaOutput replica_out;
--- a/src/tier/coordination/member_peers.cpp
+++ b/src/tier/coordination/member_peers.cpp
@@ -48,19 +48,19 @@
   return !found->second.member.disk.empty() && found->second.member.disk != member.disk;
 }
 
-MemberStanding Member::StandingOf(const CoreMember& member, net::Time now) const {
-  MemberStanding standing;
+MemberStatus Member::StandingOf(const CoreMember& member, net::Time now) const {
+  MemberStatus standing;
   standing.member = member;
   standing.is_replica = FindDisk(record().replicas, member.disk) != nullptr;
   standing.is_witness = FindDisk(record().witnesses, member.disk) != nullptr;
   if (IsSelf(member.disk)) {
-    standing.standing = DiskStanding::kTakesWrites;
+    standing.disk_state = DiskState::kTakesWrites;
     standing.heard_at = now;
     return standing;
   }
   if (const Peer* const peer = FindPeer(member.disk)) {
     const bool there = Heard(*peer, now, silent_after());
-    standing.standing = there ? DiskStanding::kTakesWrites : DiskStanding::kSilent;
+    standing.disk_state = there ? DiskState::kTakesWrites : DiskState::kSilent;
     standing.heard_at = peer->heard_at;
     return standing;
   }
@@ -69,22 +69,22 @@
   const Peer& in_place = found->second;
   if (in_place.former_disk == member.disk) standing.heard_at = in_place.former_heard_at;
   if (!in_place.member.disk.empty()) {
-    standing.standing = DiskStanding::kReplaced;
+    standing.disk_state = DiskState::kReplaced;
   } else if (Heard(in_place, now, silent_after())) {
-    standing.standing = DiskStanding::kRefuses;
+    standing.disk_state = DiskState::kRefusesWrites;
   }
   return standing;
 }
 
-std::size_t Member::replicas_there(net::Time now) const {
+std::size_t Member::responsive_replicas(net::Time now) const {
   const auto& replicas = record().replicas;
   return static_cast<std::size_t>(
       std::count_if(replicas.begin(), replicas.end(),
                     [&](const CoreMember& replica) { return IsThere(replica.disk, now); }));
 }
 
-CopiesOfMap Member::copies(net::Time now) const {
-  CopiesOfMap copies;
+ReplicationStatus Member::replication_status(net::Time now) const {
+  ReplicationStatus copies;
   copies.wanted = least_replicas();
   for (const CoreMember& member : MembersOf(record())) {
     copies.members.push_back(StandingOf(member, now));
@@ -130,7 +130,7 @@
   std::set<net::Address> to = OthersKnown();
   to.insert(options_.seeds.begin(), options_.seeds.end());
   to.erase(options_.self.address);
-  const bool fresh = has_disk() && record().number == 0 && witness_.founder();
+  const bool fresh = has_disk() && record().number == 0 && witness_.is_founder();
   for (const net::Address& address : to) Send(out, address, Hello{record().number, fresh, answer});
 }
 
@@ -138,7 +138,7 @@
   PeerOf(from.member).fresh = message.fresh;
   if (message.number < record().number) {
     Send(out, from.member.address, Decided{record()});
-  } else if (message.answer || message.number > record().number) {
+  } else if (message.wants_reply || message.number > record().number) {
     Send(out, from.member.address, Hello{record().number, false, false});
   }
 }
--- a/src/tier/coordination/choice.cpp
+++ b/src/tier/coordination/member_selection.cpp
@@ -1,4 +1,4 @@
-#include "tier/coordination/choice.h"
+#include "tier/coordination/member_selection.h"
 
 #include <algorithm>
 #include <set>
@@ -41,13 +41,14 @@
   return picked;
 }
 
-std::vector<CoreMember> ChooseReplicas(const ReplicaSituation& situation) {
-  std::vector<CoreMember> chosen = situation.staying;
-  if (chosen.size() < situation.most) {
-    const auto joining = SpreadOverZones(chosen, situation.joining, situation.most - chosen.size());
+std::vector<CoreMember> ChooseReplicas(const ReplicaCandidates& situation) {
+  std::vector<CoreMember> chosen = situation.responsive;
+  if (chosen.size() < situation.max_count) {
+    const auto joining =
+        SpreadOverZones(chosen, situation.caught_up, situation.max_count - chosen.size());
     chosen.insert(chosen.end(), joining.begin(), joining.end());
   }
-  AddUpTo(chosen, situation.silent, situation.least);
+  AddUpTo(chosen, situation.silent, situation.min_count);
   return chosen;
 }
 
@@ -71,7 +72,7 @@
   const std::size_t live = staying.size() + others.size();
   const std::size_t known =
       live >= present.size() ? live : std::min(present.size(), live + silent.size());
-  const std::size_t size = std::min(WitnessCount(known, failures), kMostWitnesses);
+  const std::size_t size = std::min(WitnessCount(known, failures), kMaxWitnesses);
   std::vector<CoreMember> chosen = std::move(staying);
   if (chosen.size() < size) {
     const auto joining = SpreadOverZones(chosen, others, size - chosen.size());
--- a/src/tier/coordination/messages.cpp
+++ b/src/tier/coordination/messages.cpp
@@ -149,7 +149,7 @@
   Put(out, m.ballot);
   out.Bool(m.promised);
   Put(out, m.blocking);
-  out.Uint(m.lease_left_ms);
+  out.Uint(m.lease_remaining_ms);
   Put(out, m.accepted);
   WriteMaybe(out, m.value);
 }
@@ -158,7 +158,7 @@
   m.ballot = ReadBallot(in);
   m.promised = in.Bool();
   m.blocking = ReadBallot(in);
-  m.lease_left_ms = in.Uint();
+  m.lease_remaining_ms = in.Uint();
   m.accepted = ReadBallot(in);
   m.value = ReadMaybe(in);
 }
@@ -179,14 +179,14 @@
   Put(out, m.ballot);
   out.Bool(m.accepted);
   Put(out, m.blocking);
-  out.Uint(m.lease_left_ms);
+  out.Uint(m.lease_remaining_ms);
 }
 void ReadFields(Reader& in, AcceptReply& m) {
   m.number = in.Uint();
   m.ballot = ReadBallot(in);
   m.accepted = in.Bool();
   m.blocking = ReadBallot(in);
-  m.lease_left_ms = in.Uint();
+  m.lease_remaining_ms = in.Uint();
 }
 
 void WriteFields(Writer& out, const Decided& m) { Put(out, m.record); }
@@ -208,11 +208,13 @@
   m.granted = in.Bool();
 }
 
-void WriteFields(Writer& out, const Hello& m) { out.Uint(m.number).Bool(m.fresh).Bool(m.answer); }
+void WriteFields(Writer& out, const Hello& m) {
+  out.Uint(m.number).Bool(m.fresh).Bool(m.wants_reply);
+}
 void ReadFields(Reader& in, Hello& m) {
   m.number = in.Uint();
   m.fresh = in.Bool();
-  m.answer = in.Bool();
+  m.wants_reply = in.Bool();
 }
 
 void WriteFields(Writer&, const Leave&) {}
--- a/src/tier/coordination/messages.h
+++ b/src/tier/coordination/messages.h
@@ -24,10 +24,10 @@
   std::uint64_t number = 0;  // Of the record to be decided.
   Ballot ballot;
   bool promised = false;
-  Ballot blocking;                  // Where refused: a higher ballot, if that is why.
-  std::uint64_t lease_left_ms = 0;  // Where refused: a lease, if that is why.
-  Ballot accepted;                  // Round 0: nothing was accepted.
-  std::optional<Record> value;      // What was accepted.
+  Ballot blocking;                       // Where refused: a higher ballot, if that is why.
+  std::uint64_t lease_remaining_ms = 0;  // Where refused: a lease, if that is why.
+  Ballot accepted;                       // Round 0: nothing was accepted.
+  std::optional<Record> value;           // What was accepted.
 };
 struct Accept {
   Record base;  // Decided.
@@ -39,7 +39,7 @@
   Ballot ballot;
   bool accepted = false;
   Ballot blocking;
-  std::uint64_t lease_left_ms = 0;
+  std::uint64_t lease_remaining_ms = 0;
 };
 struct Decided {
   Record record;
@@ -62,8 +62,8 @@
 // record.
 struct Hello {
   std::uint64_t number = 0;
-  bool fresh = false;   // Founding member without a record.
-  bool answer = false;  // Wants to know whether the receiver is there.
+  bool fresh = false;        // Founding member without a record.
+  bool wants_reply = false;  // Wants to know whether the receiver is there.
 };
 // The sender is about to stop.
 struct Leave {};
--- a/src/tier/coordination/proposer.cpp
+++ b/src/tier/coordination/proposer.cpp
@@ -4,12 +4,12 @@
 
 namespace shelflink::coordination {
 
-bool Proposer::Count(const CoreMember& from, bool yes, const Ballot& blocking,
-                     std::uint64_t lease_left_ms) {
-  if (!IsWitnessOf(base_, from) || !answered_.insert(Key(from)).second) return false;
+bool Proposer::CountReply(const CoreMember& from, bool yes, const Ballot& blocking,
+                          std::uint64_t lease_remaining_ms) {
+  if (!IsWitnessOf(base_, from) || !replied_.insert(Key(from)).second) return false;
   ++(yes ? agreed_ : refused_);
   blocking_ = std::max(blocking_, blocking);
-  lease_left_ms_ = std::max(lease_left_ms_, lease_left_ms);
+  lease_remaining_ms_ = std::max(lease_remaining_ms_, lease_remaining_ms);
   if (refused_ > base_.witnesses.size() - Majority(base_)) phase_ = Phase::kRefused;
   return true;
 }
@@ -18,22 +18,23 @@
   if (phase_ != Phase::kPreparing && phase_ != Phase::kPrepared) return;
   if (reply.number != base_.number + 1 || reply.ballot != ballot_) return;
   if (const CoreMember* const replaced = ReplacedWitness(base_, from)) {
-    gone_.insert(replaced->disk);
-  } else if (!Count(from, reply.promised, reply.blocking, reply.lease_left_ms) || !reply.promised) {
+    replaced_disks_.insert(replaced->disk);
+  } else if (!CountReply(from, reply.promised, reply.blocking, reply.lease_remaining_ms) ||
+             !reply.promised) {
     return;
   }
-  if (reply.value && reply.accepted > found_ballot_) {
-    found_ballot_ = reply.accepted;
-    found_ = reply.value;
+  if (reply.value && reply.accepted > earlier_ballot_) {
+    earlier_ballot_ = reply.accepted;
+    earlier_value_ = reply.value;
   }
   if (HasQuorum()) phase_ = Phase::kPrepared;
 }
 
 void Proposer::Propose(const Record& own) {
   if (phase_ != Phase::kPrepared) return;
-  value_ = found_ ? *found_ : own;
+  value_ = earlier_value_ ? *earlier_value_ : own;
   phase_ = Phase::kAccepting;
-  answered_.clear();
+  replied_.clear();
   agreed_ = 0;
   refused_ = 0;
 }
@@ -41,17 +42,17 @@
 void Proposer::OnReply(const CoreMember& from, const AcceptReply& reply) {
   if (phase_ != Phase::kAccepting) return;
   if (reply.number != base_.number + 1 || reply.ballot != ballot_) return;
-  if (!Count(from, reply.accepted, reply.blocking, reply.lease_left_ms)) return;
+  if (!CountReply(from, reply.accepted, reply.blocking, reply.lease_remaining_ms)) return;
   if (HasQuorum()) phase_ = Phase::kDecided;
 }
 
 void Proposer::Fingerprint(cbor::Writer& out) const {
   out.Uint(base_.number).Uint(static_cast<std::uint64_t>(phase_));
   Put(out, ballot_);
-  for (const std::string& key : answered_) out.Text(key);
-  for (const std::string& disk : gone_) out.Text(disk);
+  for (const std::string& key : replied_) out.Text(key);
+  for (const std::string& disk : replaced_disks_) out.Text(disk);
   out.Uint(agreed_);
-  Put(out, found_ballot_);
+  Put(out, earlier_ballot_);
   if (phase_ >= Phase::kAccepting) Put(out, value_);
 }
 
--- a/src/tier/coordination/proposer.h
+++ b/src/tier/coordination/proposer.h
@@ -37,16 +37,16 @@
   Accept MakeAccept() const { return {base_, ballot_, value_}; }
   // The highest ballot and the longest rest of a lease that stood in the way.
   const Ballot& blocking() const { return blocking_; }
-  std::uint64_t lease_left_ms() const { return lease_left_ms_; }
+  std::uint64_t lease_remaining_ms() const { return lease_remaining_ms_; }
 
   void OnReply(const CoreMember& from, const PrepareReply& reply);
   void OnReply(const CoreMember& from, const AcceptReply& reply);
   // Whether an earlier proposal may have been decided already: it is taken over.
-  const std::optional<Record>& found() const { return found_; }
+  const std::optional<Record>& earlier_value() const { return earlier_value_; }
   // In phase kPrepared: `own` is proposed unless another value was found.
   void Propose(const Record& own);
   const Record& value() const { return value_; }  // From phase kAccepting on.
-  bool Answered(const CoreMember& witness) const { return answered_.count(Key(witness)) > 0; }
+  bool HasReplied(const CoreMember& witness) const { return replied_.count(Key(witness)) > 0; }
 
   void Fingerprint(cbor::Writer& out) const;
 
@@ -55,21 +55,23 @@
   std::string Key(const CoreMember& member) const {
     return base_.number == 0 ? member.address.Text() : member.disk;
   }
-  bool HasQuorum() const { return IsQuorum(base_, agreed_, gone_.size()); }
+  bool HasQuorum() const { return IsQuorum(base_, agreed_, replaced_disks_.size()); }
   // Returns whether the answer is the first of this witness in this phase.
-  bool Count(const CoreMember& from, bool yes, const Ballot& blocking, std::uint64_t lease_left_ms);
+  bool CountReply(const CoreMember& from, bool yes, const Ballot& blocking,
+                  std::uint64_t lease_remaining_ms);
 
   Record base_;
   Ballot ballot_;
   Phase phase_ = Phase::kPreparing;
-  std::set<std::string> answered_;  // In this phase.
-  std::set<std::string> gone_;      // Disks of witnesses from whose machine another one answered.
+  std::set<std::string> replied_;  // In this phase.
+  std::set<std::string>
+      replaced_disks_;  // Disks of witnesses from whose machine another one answered.
   std::size_t agreed_ = 0;
   std::size_t refused_ = 0;
   Ballot blocking_;
-  std::uint64_t lease_left_ms_ = 0;
-  Ballot found_ballot_;
-  std::optional<Record> found_;
+  std::uint64_t lease_remaining_ms_ = 0;
+  Ballot earlier_ballot_;
+  std::optional<Record> earlier_value_;
   Record value_;
 };
 
--- a/src/tier/coordination/record.cpp
+++ b/src/tier/coordination/record.cpp
@@ -5,7 +5,7 @@
 namespace shelflink::coordination {
 
 namespace {
-constexpr std::size_t kMostMembers = 64;
+constexpr std::size_t kMaxMembers = 64;
 
 void WriteAll(cbor::Writer& out, const std::vector<CoreMember>& members) {
   out.Array(members.size());
@@ -99,7 +99,7 @@
 
 std::vector<CoreMember> ReadMembers(cbor::Reader& in) {
   const std::size_t count = in.Array();
-  if (count > kMostMembers) in.Fail();
+  if (count > kMaxMembers) in.Fail();
   std::vector<CoreMember> members;
   for (std::size_t i = 0; i < count && in.ok(); ++i) members.push_back(ReadMember(in));
   return members;
--- a/src/tier/coordination/replica.cpp
+++ b/src/tier/coordination/replica.cpp
@@ -203,7 +203,7 @@
   return options_.prefix + "m" + std::string(key);
 }
 
-KeyValues Replica::StoredMap(const storage::Storage& storage) const {
+PrefixView Replica::StoredMap(const storage::Storage& storage) const {
   return {storage, MapKey("")};
 }
 
--- a/src/tier/coordination/replica.h
+++ b/src/tier/coordination/replica.h
@@ -195,7 +195,7 @@
   bool IsReplica(const std::string& disk) const;
   std::string TailKey(std::uint64_t sequence) const;
   std::string MapKey(std::string_view key) const;
-  KeyValues StoredMap(const storage::Storage& storage) const;
+  PrefixView StoredMap(const storage::Storage& storage) const;
   bool IsLearning() const { return session_.has_value() && session_->started; }
 
   void Load(const storage::Storage& storage);
--- a/src/tier/coordination/replica_learner.cpp
+++ b/src/tier/coordination/replica_learner.cpp
@@ -52,7 +52,7 @@
     TakeStart(step, message);
   } else if (!message.contents.empty()) {
     const RangeContents& contents = message.contents.front();
-    if (!session_->repair.Asked(contents.range, true)) return;
+    if (!session_->repair.IsPending(contents.range, true)) return;
     // Overtaken by entries that are in the map by now: what was read before them is too old.
     if (message.at.sequence < applied_.sequence) {
       AskOn(step, out);
@@ -61,8 +61,8 @@
     TakeContents(step, contents);
   } else {
     if (message.digests.empty()) return;
-    if (!session_->repair.Asked(message.digests.front().range, false)) return;
-    session_->repair.TakeNext();
+    if (!session_->repair.IsPending(message.digests.front().range, false)) return;
+    session_->repair.PopPending();
     session_->repair.OnDigests(StoredMap(step.storage), message.digests);
   }
   session_->heard_at = step.now;
@@ -89,16 +89,16 @@
 }
 
 void Replica::TakeContents(Step& step, const RangeContents& contents) {
-  const KeyRange asked = session_->repair.first();
+  const KeyRange asked = session_->repair.first_pending();
   storage::Batch batch;
-  Replace(StoredMap(step.storage), MapKey(""), contents, batch);
+  ReplaceRange(StoredMap(step.storage), MapKey(""), contents, batch);
   if (!batch.empty()) step.storage.Apply(batch);
   session_->unsynced_bytes += SizeOf(batch);
   if (session_->unsynced_bytes >= options_.copied_bytes_a_sync) {
     session_->unsynced_bytes = 0;
     WantSync(step);
   }
-  session_->repair.TakeNext();
+  session_->repair.PopPending();
   session_->repair.OnContents(asked, contents.range);
 }
 
@@ -108,7 +108,7 @@
     FinishIfWhole(step, out);
     return;
   }
-  RangeRepair::Wanted wanted = session_->repair.Next();
+  RangeRepair::Request wanted = session_->repair.NextRequest();
   CatchUpRequest request;
   request.epoch = assignment_.epoch;
   request.session = session_->id;
--- a/src/tier/coordination/replica_primary.cpp
+++ b/src/tier/coordination/replica_primary.cpp
@@ -193,7 +193,7 @@
   if (!acting_ || message.epoch != assignment_.epoch || message.session == 0) return;
   // One that is about to be named, or is, must not be seen to start with nothing.
   if (IsReplica(from) || required_.count(from) > 0) return;
-  const KeyValues map = StoredMap(step.storage);
+  const PrefixView map = StoredMap(step.storage);
   CatchUpReply reply;
   reply.epoch = message.epoch;
   reply.session = message.session;
--- a/src/tier/coordination/replicator.h
+++ b/src/tier/coordination/replicator.h
@@ -36,24 +36,24 @@
 };
 
 // How the disk of a member stands, as the primary knows it.
-enum class DiskStanding : std::uint8_t {
-  kTakesWrites,  // It answers.
-  kSilent,       // Nothing has been heard of it for longer than a moment.
-  kRefuses,      // Its process answers, without a disk that takes writes.
-  kReplaced,     // Another disk answers in its place: this one is lost.
+enum class DiskState : std::uint8_t {
+  kTakesWrites,    // It answers.
+  kSilent,         // Nothing has been heard of it for longer than a moment.
+  kRefusesWrites,  // Its process answers, without a disk that takes writes.
+  kReplaced,       // Another disk answers in its place: this one is lost.
 };
 
-struct MemberStanding {
+struct MemberStatus {
   CoreMember member;
   bool is_replica = false;
   bool is_witness = false;
-  DiskStanding standing = DiskStanding::kSilent;
+  DiskState disk_state = DiskState::kSilent;
   std::optional<net::Time> heard_at;  // Of this disk; none: never by this process.
 };
 
 // The copies of the map, and what is copied to make more of them.
-struct CopiesOfMap {
-  std::vector<MemberStanding> members;
+struct ReplicationStatus {
+  std::vector<MemberStatus> members;
   std::size_t wanted = 0;                   // Replicas: fault tolerance + 1.
   std::uint64_t bytes_copied = 0;           // To learners, since the process began.
   std::optional<std::uint64_t> bytes_left;  // To the learner that has come furthest, at most.
@@ -78,7 +78,7 @@
     std::function<void(bool primary, std::uint64_t epoch)> role;
     // On the primary: another number of the record's replicas is there. A loss may be made good
     // within milliseconds, so who only looks now and then would not see it.
-    std::function<void()> copies = nullptr;
+    std::function<void()> replicas_changed = nullptr;
   };
 
   virtual ~Replicator() = default;
@@ -90,7 +90,7 @@
   virtual std::optional<net::Address> primary() const = 0;  // Internal address, where known.
   virtual std::vector<CoreMember> members() const = 0;      // Replicas and witnesses.
   // None where this is not the primary.
-  virtual std::optional<CopiesOfMap> copies() const { return std::nullopt; }
+  virtual std::optional<ReplicationStatus> replication_status() const { return std::nullopt; }
   // Hands the primary's place over (SIGTERM); done is told when another has it or it failed.
   virtual void Transfer(std::function<void(bool)> done) = 0;
 };
--- a/src/tier/coordination/witness.cpp
+++ b/src/tier/coordination/witness.cpp
@@ -17,12 +17,12 @@
 Witness::Witness(Options options, const storage::Storage& storage, net::Time now)
     : options_(std::move(options)) {
   Load(storage);
-  granted_until_ = now + options_.lease;
+  lease_until_ = now + options_.lease;
 }
 
-void Witness::Found(Step& step, std::vector<CoreMember> seeds) {
+void Witness::Bootstrap(Step& step, std::vector<CoreMember> seeds) {
   state_.founder = true;
-  granted_until_ = {};
+  lease_until_ = {};
   state_.record.witnesses = std::move(seeds);
   Store(step);
 }
@@ -46,17 +46,17 @@
   return IsWitnessOf(state_.record, options_.self);
 }
 
-net::Span Witness::LeaseAgainst(net::Time now, const Ballot& ballot) const {
+net::Span Witness::BlockingLease(net::Time now, const Ballot& ballot) const {
   if (ballot.disk == state_.record.primary) return {};  // Its own lease.
-  return std::max(granted_until_ - now, net::Span::zero());
+  return std::max(lease_until_ - now, net::Span::zero());
 }
 
 template <typename Request, typename Reply>
-bool Witness::MayFollow(net::Time now, const Request& request, Reply& reply) const {
+bool Witness::MayAgree(net::Time now, const Request& request, Reply& reply) const {
   if (request.base.number != state_.record.number || !MayVote()) return false;
-  const net::Span left = LeaseAgainst(now, request.ballot);
+  const net::Span left = BlockingLease(now, request.ballot);
   if (left > net::Span::zero()) {
-    reply.lease_left_ms = CeilMilliseconds(left);
+    reply.lease_remaining_ms = CeilMilliseconds(left);
     return false;
   }
   if (request.ballot < state_.promised) {
@@ -70,7 +70,7 @@
   PrepareReply reply;
   reply.number = request.base.number + 1;
   reply.ballot = request.ballot;
-  if (!MayFollow(step.now, request, reply)) return reply;
+  if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot > state_.promised) {
     state_.promised = request.ballot;
     Store(step);
@@ -85,7 +85,7 @@
   AcceptReply reply;
   reply.number = request.base.number + 1;
   reply.ballot = request.ballot;
-  if (!MayFollow(step.now, request, reply)) return reply;
+  if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot != state_.accepted) {
     state_.promised = request.ballot;
     state_.accepted = request.ballot;
@@ -96,13 +96,13 @@
   return reply;
 }
 
-bool Witness::Grant(net::Time now, const std::string& primary, std::uint64_t number) {
+bool Witness::GrantLease(net::Time now, const std::string& primary, std::uint64_t number) {
   if (number == 0 || number != state_.record.number) return false;
   if (primary != state_.record.primary) return false;
   // A vote for another may have been counted already. One that was only promised will not be given
   // while this lease runs.
   if (state_.value && state_.value->primary != primary) return false;
-  granted_until_ = std::max(granted_until_, now + options_.lease);
+  lease_until_ = std::max(lease_until_, now + options_.lease);
   return true;
 }
 
@@ -143,7 +143,7 @@
   Put(out, state_.promised);
   Put(out, state_.accepted);
   if (state_.value) Put(out, *state_.value);
-  out.Bool(state_.founder).Int(std::max(granted_until_ - now, net::Span::zero()).count());
+  out.Bool(state_.founder).Int(std::max(lease_until_ - now, net::Span::zero()).count());
 }
 
 }  // namespace shelflink::coordination
--- a/src/tier/coordination/witness.h
+++ b/src/tier/coordination/witness.h
@@ -32,10 +32,10 @@
   static bool HasStored(const storage::Storage& storage);
 
   // First start of the whole system: record 0 with the seeds as witnesses.
-  void Found(Step& step, std::vector<CoreMember> seeds);
+  void Bootstrap(Step& step, std::vector<CoreMember> seeds);
 
   const Record& record() const { return state_.record; }  // The newest decided one known.
-  bool founder() const { return state_.founder; }
+  bool is_founder() const { return state_.founder; }
   // Takes a decided record; false if it is not newer.
   bool Learn(Step& step, const Record& decided);
 
@@ -44,8 +44,8 @@
   AcceptReply OnAccept(Step& step, const Accept& request);
 
   // A lease for the primary of the newest record, from now on.
-  bool Grant(net::Time now, const std::string& primary, std::uint64_t number);
-  net::Time granted_until() const { return granted_until_; }
+  bool GrantLease(net::Time now, const std::string& primary, std::uint64_t number);
+  net::Time lease_until() const { return lease_until_; }
 
   void Fingerprint(cbor::Writer& out, net::Time now) const;
 
@@ -64,13 +64,13 @@
   // Whether this witness may promise or accept: it knows that record, no lease forbids it and no
   // higher ballot has its promise. Where not, the reply tells which of the last two it was.
   template <typename Request, typename Reply>
-  bool MayFollow(net::Time now, const Request& request, Reply& reply) const;
+  bool MayAgree(net::Time now, const Request& request, Reply& reply) const;
   // Left of a lease that forbids to help this proposer.
-  net::Span LeaseAgainst(net::Time now, const Ballot& ballot) const;
+  net::Span BlockingLease(net::Time now, const Ballot& ballot) const;
 
   Options options_;
   State state_;
-  net::Time granted_until_{};
+  net::Time lease_until_{};
 };
 
 }  // namespace shelflink::coordination
--- a/tests/tier/cluster/cluster_parts_test.cpp
+++ b/tests/tier/cluster/cluster_parts_test.cpp
@@ -504,25 +504,25 @@
   BOOST_TEST(watch.book().open(After(seconds(4))).empty());
 }
 
-coordination::MemberStanding Standing(const std::string& disk, coordination::DiskStanding standing,
-                                      net::Time heard_at) {
+coordination::MemberStatus Standing(const std::string& disk, coordination::DiskState standing,
+                                    net::Time heard_at) {
   return {{"node", "zone", disk, At(1)}, true, true, standing, heard_at};
 }
 
 BOOST_AUTO_TEST_CASE(the_control_state_lacks_copies_where_too_few_replicas_stand) {
-  using coordination::DiskStanding;
+  using coordination::DiskState;
   RedundancyWatch watch(2);
   watch.Begin(After(seconds(1)));
-  coordination::CopiesOfMap copies;
+  coordination::ReplicationStatus copies;
   copies.wanted = 2;
   copies.bytes_copied = 5000;  // Before this process led.
-  copies.members = {Standing("a", DiskStanding::kTakesWrites, After(seconds(2))),
-                    Standing("b", DiskStanding::kTakesWrites, After(seconds(2))),
-                    Standing("c", DiskStanding::kSilent, After(seconds(1)))};
+  copies.members = {Standing("a", DiskState::kTakesWrites, After(seconds(2))),
+                    Standing("b", DiskState::kTakesWrites, After(seconds(2))),
+                    Standing("c", DiskState::kSilent, After(seconds(1)))};
   const auto map_bytes = [] { return std::uint64_t{777}; };
   watch.ObserveControl(After(seconds(2)), copies, map_bytes);
   BOOST_TEST(watch.book().open(After(seconds(2))).empty());  // Two are enough.
-  copies.members[1] = Standing("b", DiskStanding::kRefuses, After(seconds(3)));
+  copies.members[1] = Standing("b", DiskState::kRefusesWrites, After(seconds(3)));
   copies.members.pop_back();
   watch.ObserveControl(After(seconds(4)), copies, map_bytes);
   BOOST_REQUIRE(watch.book().open(After(seconds(5))).size() == 1U);
@@ -532,7 +532,7 @@
   copies.bytes_left = 177;
   watch.ObserveControl(After(seconds(5)), copies, map_bytes);
   BOOST_TEST(watch.book().open(After(seconds(5)))[0].bytes_left.value() == 177U);
-  copies.members[1] = Standing("c", DiskStanding::kTakesWrites, After(seconds(6)));
+  copies.members[1] = Standing("c", DiskState::kTakesWrites, After(seconds(6)));
   watch.ObserveControl(After(seconds(6)), copies, map_bytes);
   const LossHistory history = watch.book().history(CopyKind::kControl);
   BOOST_TEST((history.worst == seconds(3)));
@@ -540,19 +540,19 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_was_copied_before_the_loss_was_seen_counts_as_well) {
-  using coordination::DiskStanding;
+  using coordination::DiskState;
   RedundancyWatch watch(2);
   watch.Begin(After(seconds(1)));
-  coordination::CopiesOfMap copies;
+  coordination::ReplicationStatus copies;
   copies.wanted = 2;
-  copies.members = {Standing("a", DiskStanding::kTakesWrites, After(seconds(2))),
-                    Standing("b", DiskStanding::kTakesWrites, After(seconds(2)))};
+  copies.members = {Standing("a", DiskState::kTakesWrites, After(seconds(2))),
+                    Standing("b", DiskState::kTakesWrites, After(seconds(2)))};
   const auto map_bytes = [] { return std::uint64_t{0}; };
   watch.ObserveControl(After(seconds(2)), copies, map_bytes);
-  copies.members[1].standing = DiskStanding::kReplaced;
+  copies.members[1].disk_state = DiskState::kReplaced;
   copies.bytes_copied = 900;
   watch.ObserveControl(After(seconds(3)), copies, map_bytes);
-  copies.members[1] = Standing("c", DiskStanding::kTakesWrites, After(seconds(4)));
+  copies.members[1] = Standing("c", DiskState::kTakesWrites, After(seconds(4)));
   copies.bytes_copied = 1000;
   watch.ObserveControl(After(seconds(4)), copies, map_bytes);
   BOOST_TEST(watch.book().history(CopyKind::kControl).bytes_copied == 1000U);
--- a/tests/tier/cluster/core_metrics_test.cpp
+++ b/tests/tier/cluster/core_metrics_test.cpp
@@ -289,7 +289,7 @@
 
 // --- Status ---
 
-using coordination::DiskStanding;
+using coordination::DiskState;
 
 CoreFigures SomeStatus() {
   CoreFigures figures = SomeFigures();
@@ -299,8 +299,8 @@
   group.wanted_replicas = 2;
   const net::Address address = net::Address::V4(0x0a010001, 7361);
   group.members = {
-      {{"edge-1", "zone-1", "d1", address}, true, true, DiskStanding::kTakesWrites, {}},
-      {{"edge-2", "zone-2", "d2", address}, false, true, DiskStanding::kRefuses, {}}};
+      {{"edge-1", "zone-1", "d1", address}, true, true, DiskState::kTakesWrites, {}},
+      {{"edge-2", "zone-2", "d2", address}, false, true, DiskState::kRefusesWrites, {}}};
   return figures;
 }
 
--- a/tests/tier/coordination/learner_file_test.cpp
+++ b/tests/tier/coordination/learner_file_test.cpp
@@ -49,7 +49,7 @@
     reply.epoch = 1;
     reply.session = request.session;
     reply.start = true;
-    reply.digests = SplitDigests(KeyValues(disk, "none/"), {}, 16);
+    reply.digests = SplitDigests(PrefixView(disk, "none/"), {}, 16);
     run([&](Step& step) { replica.OnMessage(step, out, "a", reply); });
     BOOST_REQUIRE(replica.complete());
     Position last;
--- a/tests/tier/coordination/choice_test.cpp
+++ b/tests/tier/coordination/member_selection_test.cpp
@@ -1,6 +1,6 @@
 // Which disks the next record names.
 #define BOOST_TEST_MODULE coordination_choice
-#include "tier/coordination/choice.h"
+#include "tier/coordination/member_selection.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/tier/coordination/member_test.cpp
+++ b/tests/tier/coordination/member_test.cpp
@@ -191,10 +191,10 @@
 
 // ---- How members stand, as an operator is told.
 
-DiskStanding StandingOf(const World& world, std::size_t primary, const std::string& disk) {
-  const CopiesOfMap copies = world.nodes[primary].member->copies(world.now);
-  for (const MemberStanding& member : copies.members) {
-    if (member.member.disk == disk) return member.standing;
+DiskState StandingOf(const World& world, std::size_t primary, const std::string& disk) {
+  const ReplicationStatus copies = world.nodes[primary].member->replication_status(world.now);
+  for (const MemberStatus& member : copies.members) {
+    if (member.member.disk == disk) return member.disk_state;
   }
   throw std::runtime_error("the record does not name " + disk);
 }
@@ -205,20 +205,20 @@
   const std::size_t primary = serving.Primary().value();
   const std::size_t other = 1 - primary;
   const std::string disk = serving.nodes[other].identity;
-  BOOST_TEST((StandingOf(serving, primary, disk) == DiskStanding::kTakesWrites));
-  BOOST_TEST(serving.nodes[primary].member->copies(serving.now).wanted == 2U);
+  BOOST_TEST((StandingOf(serving, primary, disk) == DiskState::kTakesWrites));
+  BOOST_TEST(serving.nodes[primary].member->replication_status(serving.now).wanted == 2U);
 
   World silent = serving;
   silent.Crash(other, 0);
   silent.Run(milliseconds(600));
-  BOOST_TEST((StandingOf(silent, primary, disk) == DiskStanding::kSilent));
+  BOOST_TEST((StandingOf(silent, primary, disk) == DiskState::kSilent));
 
   World refusing = serving;
   refusing.FillDisk(other, 0);
   refusing.Run(milliseconds(50));
-  BOOST_TEST((StandingOf(refusing, primary, disk) == DiskStanding::kRefuses));
-  const CopiesOfMap copies = refusing.nodes[primary].member->copies(refusing.now);
-  for (const MemberStanding& member : copies.members) BOOST_TEST(member.heard_at.has_value());
+  BOOST_TEST((StandingOf(refusing, primary, disk) == DiskState::kRefusesWrites));
+  const ReplicationStatus copies = refusing.nodes[primary].member->replication_status(refusing.now);
+  for (const MemberStatus& member : copies.members) BOOST_TEST(member.heard_at.has_value());
 
   World replaced = serving;
   replaced.Wipe(other);
@@ -226,9 +226,9 @@
   bool seen = false;
   for (int step = 0; step < 100 && !seen; ++step) {
     replaced.Run(milliseconds(1));
-    const CopiesOfMap now = replaced.nodes[primary].member->copies(replaced.now);
-    for (const MemberStanding& member : now.members) {
-      seen = seen || member.standing == DiskStanding::kReplaced;
+    const ReplicationStatus now = replaced.nodes[primary].member->replication_status(replaced.now);
+    for (const MemberStatus& member : now.members) {
+      seen = seen || member.disk_state == DiskState::kReplaced;
     }
   }
   BOOST_TEST(seen);
--- a/tests/tier/coordination/mutants.cmake
+++ b/tests/tier/coordination/mutants.cmake
@@ -36,17 +36,17 @@
   [=[  step.storage.Apply(batch);
   step.wants_sync = true;]=] "")
 coordination_mutant(votes_against_a_lease witness.cpp
-  [=[  return std::max(granted_until_ - now, net::Span::zero());]=] [=[  return {};]=])
+  [=[  return std::max(lease_until_ - now, net::Span::zero());]=] [=[  return {};]=])
 coordination_mutant(lease_after_an_accepted_vote witness.cpp
   [=[  if (state_.value && state_.value->primary != primary) return false;]=] "")
 coordination_mutant(lower_ballots_are_accepted witness.cpp
-  [=[  if (!MayFollow(step.now, request, reply)) return reply;
+  [=[  if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot != state_.accepted) {]=]
-  [=[  if (!MayFollow(step.now, request, reply) && reply.blocking == Ballot()) return reply;
+  [=[  if (!MayAgree(step.now, request, reply) && reply.blocking == Ballot()) return reply;
   reply.blocking = {};
   if (request.ballot != state_.accepted) {]=])
 coordination_mutant(earlier_proposals_are_ignored proposer.cpp
-  [=[value_ = found_ ? *found_ : own;]=] [=[value_ = own;]=])
+  [=[value_ = earlier_value_ ? *earlier_value_ : own;]=] [=[value_ = own;]=])
 coordination_mutant(one_vote_decides proposer.cpp
   [=[  if (HasQuorum()) phase_ = Phase::kDecided;]=]
   [=[  phase_ = Phase::kDecided;]=])
@@ -68,12 +68,12 @@
   [=[  if (!has_disk() || acting_ || !replica_.complete()) return false;]=]
   [=[  if (!has_disk() || acting_) return false;
   if (record().number > 0) return true;]=])
-coordination_mutant(too_few_replicas_suffice choice.cpp
-  [=[  AddUpTo(chosen, situation.silent, situation.least);]=] "")
+coordination_mutant(too_few_replicas_suffice member_selection.cpp
+  [=[  AddUpTo(chosen, situation.silent, situation.min_count);]=] "")
 coordination_mutant(a_witness_that_answers_is_taken_for_lost record.cpp
   [=[  if (FindDisk(base.witnesses, member.disk) != nullptr) return nullptr;]=] "")
 second_loss_mutant(as_many_disks_as_tolerated_are_lost_at_one_instant
-  witnesses_are_always_odd choice.cpp
+  witnesses_are_always_odd member_selection.cpp
   [=[  return odd || known <= 2 * failures ? known : known - 1;]=]
   [=[  return odd ? known : known - 1;]=])
 second_loss_mutant(as_many_disks_as_tolerated_are_lost_at_one_instant
--- a/tests/tier/coordination/replica_site.cpp
+++ b/tests/tier/coordination/replica_site.cpp
@@ -135,13 +135,13 @@
 
 bool ReplicaSite::SameMap(const std::string& one, const std::string& other) const {
   const auto digest_of = [&](const std::string& name) {
-    return DigestOf(KeyValues(*nodes_.at(name).storage, "p/m"), {}).digest;
+    return DigestOf(PrefixView(*nodes_.at(name).storage, "p/m"), {}).digest;
   };
   return digest_of(one) == digest_of(other);
 }
 
 std::uint64_t ReplicaSite::StateBytes(const std::string& name) const {
-  return DigestOf(KeyValues(*nodes_.at(name).storage, "p/m"), {}).bytes;
+  return DigestOf(PrefixView(*nodes_.at(name).storage, "p/m"), {}).bytes;
 }
 
 void ReplicaSite::After(net::Span span, std::function<void()> step) {
--- a/tests/tier/measure/file_recoveries.cpp
+++ b/tests/tier/measure/file_recoveries.cpp
@@ -92,7 +92,7 @@
   std::size_t held = 0;
   while (held < megabytes * kMegabyte) {
     const storage::Usage usage = storage.usage();
-    const std::uint64_t most = usage.bytes_limit / 100 * coordination::kMostFullPercent;
+    const std::uint64_t most = usage.bytes_limit / 100 * coordination::kMaxDiskUsePercent;
     if (usage.bytes_used + 2 * kValue > most) break;
     Batch batch;
     batch.Put("key" + std::to_string(100'000 + held / kValue), std::string(kValue, 'v'));
