--- a/src/tier/coordination/catch_up.cpp
+++ b/src/tier/coordination/catch_up.cpp
@@ -6,28 +6,29 @@
 
 namespace {
 
-// A range no larger than this moves as a whole; splitting it further would cost as much.
+// A range of at most this size is fetched as a whole: splitting it further would cost as much.
 constexpr std::uint64_t kSmallRangeBytes = 64U << 10;
 
-constexpr std::uint64_t kHashStart = 0xcbf29ce484222325;
-constexpr std::uint64_t kHashPrime = 0x100000001b3;
+// 64-bit FNV-1a.
+constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325;
+constexpr std::uint64_t kFnvPrime = 0x100000001b3;
 
 std::uint64_t Hash(std::uint64_t hash, std::string_view bytes) {
   for (const char byte : bytes) {
-    hash = (hash ^ static_cast<unsigned char>(byte)) * kHashPrime;
+    hash = (hash ^ static_cast<unsigned char>(byte)) * kFnvPrime;
   }
-  // Lengths separate neighbours: "ab","c" is not "a","bc".
-  return (hash ^ bytes.size()) * kHashPrime;
+  // The length separates adjacent strings: "ab","c" hashes differently from "a","bc".
+  return (hash ^ bytes.size()) * kFnvPrime;
 }
 
-void Add(RangeDigest& digest, std::string_view key, std::string_view value) {
+void AddItem(RangeDigest& digest, std::string_view key, std::string_view value) {
   digest.digest = Hash(Hash(digest.digest, key), value);
   ++digest.keys;
   digest.bytes += key.size() + value.size();
 }
 
-// The least key above this one.
-std::string After(std::string_view key) { return std::string(key) + '\0'; }
+// The smallest key greater than `key`.
+std::string NextKey(std::string_view key) { return std::string(key) + '\0'; }
 
 }  // namespace
 
@@ -41,9 +42,9 @@
 }
 
 RangeDigest DigestOf(const PrefixView& map, const KeyRange& range) {
-  RangeDigest digest{range, kHashStart, 0, 0};
+  RangeDigest digest{range, kFnvOffsetBasis, 0, 0};
   map.Visit(range, [&](std::string_view key, std::string_view value) {
-    Add(digest, key, value);
+    AddItem(digest, key, value);
     return true;
   });
   return digest;
@@ -52,14 +53,14 @@
 std::vector<RangeDigest> SplitDigests(const PrefixView& map, const KeyRange& range,
                                       std::size_t parts) {
   const std::uint64_t keys = DigestOf(map, range).keys;
-  const std::uint64_t each = std::max<std::uint64_t>(1, (keys + parts - 1) / parts);
-  std::vector<RangeDigest> digests{{range, kHashStart, 0, 0}};
+  const std::uint64_t keys_per_part = std::max<std::uint64_t>(1, (keys + parts - 1) / parts);
+  std::vector<RangeDigest> digests{{range, kFnvOffsetBasis, 0, 0}};
   map.Visit(range, [&](std::string_view key, std::string_view value) {
-    if (digests.back().keys == each) {
+    if (digests.back().keys == keys_per_part) {
       digests.back().range.until = key;
-      digests.push_back({{std::string(key), range.until}, kHashStart, 0, 0});
+      digests.push_back({{std::string(key), range.until}, kFnvOffsetBasis, 0, 0});
     }
-    Add(digests.back(), key, value);
+    AddItem(digests.back(), key, value);
     return true;
   });
   return digests;
@@ -71,7 +72,7 @@
   map.Visit(range, [&](std::string_view key, std::string_view value) {
     const std::size_t size = key.size() + value.size();
     if (!contents.items.empty() && bytes + size > max_bytes) {
-      contents.range.until = After(contents.items.back().first);
+      contents.range.until = NextKey(contents.items.back().first);
       return false;
     }
     bytes += size;
@@ -83,45 +84,45 @@
 
 void ReplaceRange(const PrefixView& map, const std::string& prefix, const RangeContents& contents,
                   storage::Batch& batch) {
-  auto wanted = contents.items.begin();
+  auto next = contents.items.begin();
   const auto put = [&] {
-    batch.Put(prefix + wanted->first, wanted->second);
-    ++wanted;
+    batch.Put(prefix + next->first, next->second);
+    ++next;
   };
   map.Visit(contents.range, [&](std::string_view key, std::string_view value) {
-    while (wanted != contents.items.end() && wanted->first < key) put();
-    if (wanted == contents.items.end() || wanted->first != key) {
+    while (next != contents.items.end() && next->first < key) put();
+    if (next == contents.items.end() || next->first != key) {
       batch.Remove(prefix + std::string(key));
-    } else if (wanted->second != value) {
+    } else if (next->second != value) {
       put();
     } else {
-      ++wanted;
+      ++next;
     }
     return true;
   });
-  while (wanted != contents.items.end()) put();
+  while (next != contents.items.end()) put();
 }
 
 void RangeRepair::OnDigests(const PrefixView& map, const std::vector<RangeDigest>& digests) {
   for (auto digest = digests.rbegin(); digest != digests.rend(); ++digest) {
-    const RangeDigest own = DigestOf(map, digest->range);
-    if (own.digest == digest->digest && own.keys == digest->keys) continue;
-    const bool small = digest->keys <= 1 || digest->bytes <= kSmallRangeBytes || own.keys == 0;
+    const RangeDigest local = DigestOf(map, digest->range);
+    if (local.digest == digest->digest && local.keys == digest->keys) continue;
+    const bool small = digest->keys <= 1 || digest->bytes <= kSmallRangeBytes || local.keys == 0;
     pending_.push_front({digest->range, small});
   }
 }
 
-void RangeRepair::OnContents(const KeyRange& asked, const KeyRange& got) {
-  if (got.until != asked.until && !got.until.empty()) {
-    pending_.push_front({{got.until, asked.until}, true});
+void RangeRepair::OnContents(const KeyRange& requested, const KeyRange& received) {
+  if (received.until != requested.until && !received.until.empty()) {
+    pending_.push_front({{received.until, requested.until}, true});
   }
 }
 
 RangeRepair::Request RangeRepair::NextRequest() const {
-  Request wanted;
-  if (pending_.empty()) return wanted;
-  (pending_.front().small ? wanted.contents : wanted.digests).push_back(pending_.front().range);
-  return wanted;
+  Request request;
+  if (pending_.empty()) return request;
+  (pending_.front().small ? request.contents : request.digests).push_back(pending_.front().range);
+  return request;
 }
 
 bool RangeRepair::IsPending(const KeyRange& range, bool contents) const {
@@ -133,8 +134,8 @@
 
 void RangeRepair::Fingerprint(cbor::Writer& out) const {
   out.Uint(pending_.size());
-  for (const PendingRange& open : pending_)
-    out.Bytes(open.range.from).Bytes(open.range.until).Bool(open.small);
+  for (const PendingRange& pending : pending_)
+    out.Bytes(pending.range.from).Bytes(pending.range.until).Bool(pending.small);
 }
 
 }  // namespace shelflink::coordination
--- a/src/tier/coordination/catch_up.h
+++ b/src/tier/coordination/catch_up.h
@@ -1,5 +1,6 @@
-// Repair of an ordered map by range digests: ranges whose digests agree stay, others are split
-// until they are small, and only small ones that differ move.
+// Synchronization of an ordered map by range digests. Ranges with equal digests are left alone,
+// other ranges are split until they are small, and only the small ranges that differ are
+// transferred.
 #ifndef SHELFLINK_TIER_COORDINATION_CATCH_UP_H_
 #define SHELFLINK_TIER_COORDINATION_CATCH_UP_H_
 
@@ -16,13 +17,13 @@
 
 namespace shelflink::coordination {
 
-// A map in a storage: the keys behind a prefix.
+// Read access to a map that is stored under a key prefix.
 class PrefixView {
  public:
   using Visitor = std::function<bool(std::string_view key, std::string_view value)>;
   PrefixView(const storage::Storage& storage, std::string prefix)
       : storage_(storage), prefix_(std::move(prefix)) {}
-  // The visitor returns false to stop.
+  // Visits the keys of the range in order, without the prefix, until the visitor returns false.
   void Visit(const KeyRange& range, const Visitor& visitor) const;
 
  private:
@@ -31,17 +32,19 @@
 };
 
 RangeDigest DigestOf(const PrefixView& map, const KeyRange& range);
-// The range in at most `parts` parts of about equal numbers of keys, without gaps.
+// Digests of at most `parts` adjacent subranges with about the same number of keys, which together
+// cover the range.
 std::vector<RangeDigest> SplitDigests(const PrefixView& map, const KeyRange& range,
                                       std::size_t parts);
-// From the range's start on as much as `max_bytes` allow, one key at least; its range tells how
-// far.
+// Items from the start of the range, up to `max_bytes` but at least one. The range of the result
+// ends where the items end.
 RangeContents ContentsOf(const PrefixView& map, const KeyRange& range, std::size_t max_bytes);
-// Makes the map in the batch's storage equal to the contents within their range.
+// Adds the writes to `batch` that make the stored map equal to `contents` within their range.
 void ReplaceRange(const PrefixView& map, const std::string& prefix, const RangeContents& contents,
                   storage::Batch& batch);
 
-// What a learner still has to ask for. Bounded: ranges are asked for depth first.
+// The ranges that a learner still has to request. They are requested depth first, which bounds
+// their number.
 class RangeRepair {
  public:
   struct Request {
@@ -50,22 +53,23 @@
   };
 
   void OnDigests(const PrefixView& map, const std::vector<RangeDigest>& digests);
-  // `asked`: what was wanted; `got`: what of it has come.
-  void OnContents(const KeyRange& asked, const KeyRange& got);
+  // `requested`: the requested range; `received`: the part of it that the reply holds.
+  void OnContents(const KeyRange& requested, const KeyRange& received);
   bool done() const { return pending_.empty(); }
-  // One range a question; it stays open until answered.
+  // A request for one range, which stays pending until it is answered.
   Request NextRequest() const;
-  void PopPending();  // The first open range has been answered.
-  // Whether an answer about this range, of contents or of digests, is to the open question.
+  void PopPending();  // Removes the first pending range, which has been answered.
+  // Whether a reply about this range, with contents or with digests, answers the pending request.
   bool IsPending(const KeyRange& range, bool contents) const;
   const KeyRange& first_pending() const { return pending_.front().range; }
 
+  // Writes the state for tests, which use it to recognize equal states.
   void Fingerprint(cbor::Writer& out) const;
 
  private:
   struct PendingRange {
     KeyRange range;
-    bool small = false;  // Its contents are wanted.
+    bool small = false;  // Its contents are requested instead of digests.
   };
   std::deque<PendingRange> pending_;
 };
--- a/src/tier/coordination/disk_health.cpp
+++ b/src/tier/coordination/disk_health.cpp
@@ -3,25 +3,26 @@
 namespace shelflink::coordination {
 
 namespace {
-// A disk that took writes for so long is not held to what it was before.
-constexpr net::Span kForgotten = std::chrono::seconds(10);
+// A disk that has accepted writes for this long starts again with the shortest back-off.
+constexpr net::Span kStablePeriod = std::chrono::seconds(10);
 }  // namespace
 
-void DiskHealth::Refuses(net::Time now) {
-  const bool again = status_.recoveries > 0 && now - status_.since < kForgotten;
-  if (!again) pauses_.Reset();
-  next_attempt_ = now + pauses_.NextPause();
-  status_.refuses = true;
-  status_.since = now;
+void DiskHealth::OnFailure(net::Time now) {
+  const bool soon_after_recovery =
+      status_.recoveries > 0 && now - status_.changed_at < kStablePeriod;
+  if (!soon_after_recovery) back_off_.Reset();
+  next_attempt_ = now + back_off_.NextPause();
+  status_.refuses_writes = true;
+  status_.changed_at = now;
   ++status_.failures;
 }
 
-void DiskHealth::AttemptFailed(net::Time now) { next_attempt_ = now + pauses_.NextPause(); }
+void DiskHealth::OnAttemptFailed(net::Time now) { next_attempt_ = now + back_off_.NextPause(); }
 
-void DiskHealth::TakesWrites(net::Time now) {
+void DiskHealth::OnRecovered(net::Time now) {
   next_attempt_.reset();
-  status_.refuses = false;
-  status_.since = now;
+  status_.refuses_writes = false;
+  status_.changed_at = now;
   ++status_.recoveries;
 }
 
--- a/src/tier/coordination/disk_health.h
+++ b/src/tier/coordination/disk_health.h
@@ -1,4 +1,4 @@
-// Whether the disk of a process takes writes, and when to try one that does not. Pure.
+// Tracks whether the disk of a process accepts writes and schedules recovery attempts. Pure.
 #ifndef SHELFLINK_TIER_COORDINATION_DISK_HEALTH_H_
 #define SHELFLINK_TIER_COORDINATION_DISK_HEALTH_H_
 
@@ -11,30 +11,30 @@
 
 namespace shelflink::coordination {
 
-// As metrics tell it.
+// Values for metrics.
 struct DiskStatus {
-  bool refuses = false;
-  net::Time since{};             // Of the last change.
-  std::uint64_t failures = 0;    // Times that it began to refuse.
-  std::uint64_t recoveries = 0;  // Times that it took writes again.
+  bool refuses_writes = false;
+  net::Time changed_at{};        // Time of the last change of refuses_writes.
+  std::uint64_t failures = 0;    // Changes to refusing writes.
+  std::uint64_t recoveries = 0;  // Changes back to accepting writes.
 };
 
-// Attempts to recover lie further and further apart, up to a second. A failure soon
-// after a recovery counts as one more attempt that failed.
+// The back-off between recovery attempts grows up to one second. A failure soon after a recovery
+// counts as another failed attempt.
 class DiskHealth {
  public:
-  void Refuses(net::Time now);
-  void AttemptBegins() { next_attempt_.reset(); }
-  void AttemptFailed(net::Time now);
-  void TakesWrites(net::Time now);
+  void OnFailure(net::Time now);
+  void OnAttemptStarted() { next_attempt_.reset(); }
+  void OnAttemptFailed(net::Time now);
+  void OnRecovered(net::Time now);
 
   const DiskStatus& status() const { return status_; }
-  // None while it takes writes or an attempt is under way.
+  // None while the disk accepts writes or an attempt is in progress.
   std::optional<net::Time> next_attempt() const { return next_attempt_; }
 
  private:
   DiskStatus status_;
-  BackOff pauses_{storage::kRecoveryPauses};
+  BackOff back_off_{storage::kRecoveryPauses};
   std::optional<net::Time> next_attempt_;
 };
 
--- a/src/tier/coordination/group.cpp
+++ b/src/tier/coordination/group.cpp
@@ -16,22 +16,23 @@
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
 constexpr char kModule[] = "core.group";
-constexpr transport::MessageKind kGroupMessage = transport::kCoordinationKinds;
-constexpr Milliseconds kShortestLease{400};
-constexpr Milliseconds kLongestLease{2000};
+constexpr transport::MessageKind kMessageKind = transport::kCoordinationKinds;
+constexpr Milliseconds kMinLease{400};
+constexpr Milliseconds kMaxLease{2000};
 constexpr double kBytesPerMegabit = 1e6 / 8;
-constexpr double kShareOfLink = 0.5;  // The machine's other process has the rest.
-// Of the disk: a small share, since what a member keeps is small. Bodies of batch jobs need the
-// rest.
-constexpr std::uint64_t kDiskShare = 2;
-constexpr std::uint64_t kMegabyte = 1U << 20;
-constexpr Milliseconds kTransferWaits{150};  // For a write under way.
-constexpr int kStuckLeases = 8;
-// Stored with an identity that was drawn by a process that might found the system.
-constexpr char kMayFoundKey[] = "may-found";
-
-// Whoever receives it counts on what this process has stored.
-bool Vouches(const Message& message) {
+constexpr double kLinkShare = 0.5;  // The rest is left to the other process on the machine.
+// The core uses 1/kDiskLimitDivisor of the disk limit. Its state is small; the bodies of batch jobs
+// need the rest.
+constexpr std::uint64_t kDiskLimitDivisor = 2;
+constexpr std::uint64_t kBytesPerMegabyte = 1U << 20;
+// A transfer waits this long for the write in flight.
+constexpr Milliseconds kTransferGrace{150};
+constexpr int kStuckAfterLeases = 8;
+// Key that is stored with a disk identity drawn by a process that may bootstrap the system.
+constexpr char kMayBootstrapKey[] = "may-found";
+
+// Whether the receiver of the message relies on state that this process has stored.
+bool RequiresStorage(const Message& message) {
   if (const auto* reply = std::get_if<PrepareReply>(&message)) return reply->promised;
   if (const auto* reply = std::get_if<AcceptReply>(&message)) return reply->accepted;
   if (const auto* reply = std::get_if<RenewReply>(&message)) return reply->granted;
@@ -39,17 +40,19 @@
   return false;
 }
 
-std::string SecondsText(net::Span span) {
+std::string FormatSeconds(net::Span span) {
   const auto tenths = span / std::chrono::milliseconds(100);
   return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10) + " s";
 }
 
-// A disk whose identity came to be durable, and nothing that a member stored: as good as new.
+// Whether only the identity of the disk became durable and no state of a member, so that the disk
+// is equivalent to a new one.
 bool HoldsIdentityOnly(const storage::Storage& storage) {
-  return storage.Get(kMayFoundKey).has_value() && !Witness::HasStored(storage);
+  return storage.Get(kMayBootstrapKey).has_value() && !Witness::HasStored(storage);
 }
 
-// Whose processes this one may have to find by itself again.
+// Adds the addresses of the record's members, which this process may have to find again without a
+// record of its own.
 void AddAddressesOf(const Record& record, std::vector<net::Address>& seeds) {
   for (const CoreMember& member : MembersOf(record)) {
     if (std::find(seeds.begin(), seeds.end(), member.address) == seeds.end()) {
@@ -63,8 +66,9 @@
   return (std::uint64_t{device()} << 32U) | device();
 }
 
-// Entries and contents may be long and keep their order; leases and records need not wait for them.
-bool IsOfReplication(const Message& message) {
+// Replication messages may be large and keep their order. Messages about leases and records are
+// sent ahead of them.
+bool IsReplicationMessage(const Message& message) {
   return std::holds_alternative<Append>(message) || std::holds_alternative<AppendReply>(message) ||
          std::holds_alternative<CatchUpRequest>(message) ||
          std::holds_alternative<CatchUpReply>(message);
@@ -83,11 +87,11 @@
   member.failures = static_cast<std::size_t>(
       std::max({tolerance.machines, tolerance.zones, tolerance.regions, 0}));
   const Milliseconds third = std::min(settings.bounds.contact, settings.bounds.lease) / 3;
-  member.lease = std::clamp(third, kShortestLease, kLongestLease);
+  member.lease = std::clamp(third, kMinLease, kMaxLease);
   member.reluctant = settings.bounds.lease;
   member.link_bytes_per_second =
-      static_cast<std::uint64_t>(settings.limits.link_mbps * kBytesPerMegabit * kShareOfLink);
-  options.patience = settings.bounds.ack * 3 / 4;
+      static_cast<std::uint64_t>(settings.limits.link_mbps * kBytesPerMegabit * kLinkShare);
+  options.ack_timeout = settings.bounds.ack * 3 / 4;
   return options;
 }
 
@@ -96,7 +100,7 @@
   if (settings.data_dir.empty()) return std::unique_ptr<storage::Storage>();
   storage::LmdbStorage::Options options;
   options.folder = settings.data_dir + "/core";
-  options.bytes_limit = settings.limits.disk_mb * kMegabyte / kDiskShare;
+  options.bytes_limit = settings.limits.disk_mb * kBytesPerMegabyte / kDiskLimitDivisor;
   options.log_failures = false;
   std::unique_ptr<storage::Storage> opened = storage::LmdbStorage::OpenOrFailed(loop, options);
   const storage::Failure failure = opened->failure();
@@ -117,13 +121,13 @@
       storage_(std::move(storage)),
       options_(std::move(options)),
       random_(std::move(random)),
-      may_found_(options_.member.found) {
+      may_bootstrap_(options_.member.found) {
   options_.member.incarnation = hub_.self().incarnation;
   timer_ = loop_.NewTimer([this] { OnTimer(); });
-  hub_.Handle(kGroupMessage, [this](const transport::PeerIdentity& from, std::string_view body) {
-    OnBody(from, body);
+  hub_.Handle(kMessageKind, [this](const transport::PeerIdentity& from, std::string_view body) {
+    OnFrame(from, body);
   });
-  if (storage_ && !storage_->failed()) TakeIdentity();
+  if (storage_ && !storage_->failed()) LoadIdentity();
   if (storage_ && storage_->failed()) {
     OnDiskFailure();
   } else {
@@ -133,12 +137,12 @@
 
 Group::~Group() {
   *alive_ = false;
-  hub_.Handle(kGroupMessage, [](const transport::PeerIdentity&, std::string_view) {});
+  hub_.Handle(kMessageKind, [](const transport::PeerIdentity&, std::string_view) {});
 }
 
 void Group::SetWatcher(Watcher watcher) {
   watcher_ = std::move(watcher);
-  if (member_->replica().complete() && !Reload()) {
+  if (member_->replica().complete() && !ReloadContents()) {
     OnDiskFailure();
     return;
   }
@@ -171,19 +175,19 @@
   member_->SetSeeds(std::move(seeds));
 }
 
-// ---- Lives of the member.
+// ---- Creation and recovery of the member.
 
 storage::Storage& Group::disk() {
   if (storage_ && !failed()) return *storage_;
   return no_storage_;
 }
 
-void Group::TakeIdentity() {
+void Group::LoadIdentity() {
   storage::Batch beside;
-  if (may_found_) beside.Put(kMayFoundKey, "");
+  if (may_bootstrap_) beside.Put(kMayBootstrapKey, "");
   const storage::DiskIdentity identity =
       storage::ReadOrDrawIdentity(*storage_, random_, std::move(beside));
-  may_found_ = may_found_ && (identity.is_new || HoldsIdentityOnly(*storage_));
+  may_bootstrap_ = may_bootstrap_ && (identity.is_new || HoldsIdentityOnly(*storage_));
   identity_ = identity.id;
 }
 
@@ -192,44 +196,45 @@
   Member::Options member = options_.member;
   const bool has_disk = storage_ != nullptr && !failed();
   member.self = {self.node, self.zone, has_disk ? identity_ : "", self.address};
-  member.found = has_disk && may_found_;
-  member.told = told_sequence_;
-  if (life_ > 1) member.incarnation = random_();
+  member.found = has_disk && may_bootstrap_;
+  member.told = delivered_sequence_;
+  if (generation_ > 1) member.incarnation = random_();
   member.after_failure = disk_health_.status().failures > 0;
   if (!has_disk && member_) AddAddressesOf(member_->record(), member.seeds);
   return member;
 }
 
 void Group::StartMember() {
-  ++life_;
+  ++generation_;
   member_ = std::make_unique<Member>(MemberOptions(), disk(), loop_.Now());
-  Run([this](Step& step, MemberOutput& out) { member_->Start(step, out); });
+  RunStep([this](Step& step, MemberOutput& out) { member_->Start(step, out); });
 }
 
-// What the member has in memory may be ahead of the disk: it ends here, and nothing of the step
-// that found the failure leaves this process.
+// The state of the member in memory may be ahead of the disk, so the member is discarded. Messages
+// of the step that met the failure are not sent.
 void Group::OnDiskFailure() {
   const std::uint64_t epoch = member_ ? member_->record().number : 0;
   log::Bounded(log::Level::kError, kModule, "refuses",
-               std::string("the disk refuses (") + storage::NameOf(storage_->failure()) +
+               std::string("the disk refuses writes (") + storage::NameOf(storage_->failure()) +
                    "): " + storage_->failure_text() +
-                   "; this process is no member until it takes writes again",
+                   "; this process is not a group member until the disk accepts writes again",
                SteadyMicros(loop_.Now()));
-  disk_health_.Refuses(loop_.Now());
-  running_ = false;
-  if (told_primary_) ToldRole({false, epoch});
-  if (transferred_) EndTransfer(false);
+  disk_health_.OnFailure(loop_.Now());
+  in_step_ = false;
+  if (reported_primary_) OnRoleChange({false, epoch});
+  if (transfer_done_) EndTransfer(false);
   StartMember();
 }
 
 void Group::TryRecovery() {
-  disk_health_.AttemptBegins();
+  disk_health_.OnAttemptStarted();
   if (storage_->Recover().has_error()) {
     OnRecoveryFailed();
     return;
   }
-  TakeIdentity();
-  // Others may name a disk that they have heard of: it does not forget its identity any more.
+  LoadIdentity();
+  // Other members may name this disk in a record once they know it, so the identity is made durable
+  // first.
   storage_->Sync([this, alive = alive_](const Result<void>& result) {
     if (!*alive) return;
     if (result.has_error() || storage_->failed()) {
@@ -241,77 +246,79 @@
 }
 
 void Group::OnRecoveryFailed() {
-  disk_health_.AttemptFailed(loop_.Now());
-  Arm();
+  disk_health_.OnAttemptFailed(loop_.Now());
+  ArmTimer();
 }
 
 void Group::OnRecovered() {
   const net::Time now = loop_.Now();
-  log::Bounded(
-      log::Level::kInfo, kModule, "takes writes",
-      "the disk takes writes again after " + SecondsText(now - disk_health_.status().since),
-      SteadyMicros(now));
-  disk_health_.TakesWrites(now);
+  log::Bounded(log::Level::kInfo, kModule, "takes writes",
+               "the disk accepts writes again after " +
+                   FormatSeconds(now - disk_health_.status().changed_at),
+               SteadyMicros(now));
+  disk_health_.OnRecovered(now);
   StartMember();
 }
 
 // ---- Steps of the member.
 
-void Group::Run(const Event& event) {
+void Group::RunStep(const Event& event) {
   Step step{loop_.Now(), disk(), ++ticket_, false};
   MemberOutput out;
-  running_ = true;
+  in_step_ = true;
   event(step, out);
   if (step.storage.failed()) {
     OnDiskFailure();
     return;
   }
-  if (step.wants_sync) SyncFor(step.ticket);
-  SayIfRecordChanged();
-  Carry(out);
-  TellIfCopiesChanged();
-  running_ = false;
-  Pump();
-  Arm();
-}
-
-void Group::SyncFor(Ticket ticket) {
-  disk().Sync([this, ticket, life = life_, alive = alive_](const Result<void>& result) {
-    if (!*alive || life != life_) return;
+  if (step.wants_sync) RequestSync(step.ticket);
+  LogIfRecordChanged();
+  ApplyOutput(out);
+  NotifyIfReplicasChanged();
+  in_step_ = false;
+  StartQueuedPlans();
+  ArmTimer();
+}
+
+void Group::RequestSync(Ticket ticket) {
+  disk().Sync([this, ticket, generation = generation_, alive = alive_](const Result<void>& result) {
+    if (!*alive || generation != generation_) return;
     if (result.has_error()) {
       OnDiskFailure();
       return;
     }
-    may_found_ = false;
+    may_bootstrap_ = false;
     synced_ticket_ = std::max(synced_ticket_, ticket);
-    Run([this, ticket](Step& step, MemberOutput& out) { member_->OnSynced(step, out, ticket); });
+    RunStep(
+        [this, ticket](Step& step, MemberOutput& out) { member_->OnSynced(step, out, ticket); });
   });
 }
 
-void Group::Carry(const MemberOutput& out) {
+void Group::ApplyOutput(const MemberOutput& out) {
   for (const auto& [to, message] : out.messages) Send(to, message);
-  if (out.reset && !Reload()) {
+  if (out.reset && !ReloadContents()) {
     OnDiskFailure();
     return;
   }
-  for (const Entry& entry : out.committed) Take(entry);
-  for (const MemberOutput::Role& role : out.roles) ToldRole(role);
+  for (const Entry& entry : out.committed) ApplyEntry(entry);
+  for (const MemberOutput::Role& role : out.roles) OnRoleChange(role);
   if (out.transferred) EndTransfer(*out.transferred);
 }
 
-// Two elements, then the incarnation of the member: that of the process where it is missing.
+// The frame holds the disk, the message and the incarnation of the member. If a frame has no
+// incarnation, the receiver uses that of the process.
 void Group::Send(const net::Address& to, const Message& message) {
-  if (Vouches(message) && (storage_ == nullptr || failed() || storage_->failed())) {
+  if (RequiresStorage(message) && (storage_ == nullptr || failed() || storage_->failed())) {
     ProcessInvariants().Violate(Invariant::kMemberCanStore, "an answer to " + to.Text(),
                                 SteadyMicros(loop_.Now()));
   }
   const Member::Options& self = member_->options();
   cbor::Writer frame;
   frame.Array(3).Text(self.self.disk).Bytes(Encode(message)).Uint(self.incarnation);
-  hub_.Send(to, kGroupMessage, frame.Take(), {.urgent = !IsOfReplication(message)});
+  hub_.Send(to, kMessageKind, frame.Take(), {.urgent = !IsReplicationMessage(message)});
 }
 
-void Group::OnBody(const transport::PeerIdentity& from, std::string_view body) {
+void Group::OnFrame(const transport::PeerIdentity& from, std::string_view body) {
   cbor::Reader in(body);
   const std::size_t elements = in.Array();
   if (elements < 2) in.Fail();
@@ -327,33 +334,34 @@
                  SteadyMicros(loop_.Now()));
     return;
   }
-  Run([&](Step& step, MemberOutput& out) { member_->OnMessage(step, out, sender, *message); });
+  RunStep([&](Step& step, MemberOutput& out) { member_->OnMessage(step, out, sender, *message); });
 }
 
 void Group::OnTimer() {
   const net::Time now = loop_.Now();
-  Expire(now);
-  SayIfStuck(now);
+  ExpirePlans(now);
+  LogIfStuck(now);
   if (disk_health_.next_attempt() && now >= *disk_health_.next_attempt()) TryRecovery();
-  if (transferred_ && !transfer_begun_ && now - transfer_from_ >= kTransferWaits) BeginTransfer();
+  if (transfer_done_ && !transfer_started_ && now - transfer_since_ >= kTransferGrace)
+    BeginTransfer();
   if (now >= member_->deadline()) {
-    Run([this](Step& step, MemberOutput& out) { member_->OnTimer(step, out); });
+    RunStep([this](Step& step, MemberOutput& out) { member_->OnTimer(step, out); });
   } else {
-    Arm();
+    ArmTimer();
   }
 }
 
-void Group::Arm() {
+void Group::ArmTimer() {
   net::Time at = member_->deadline();
   if (const auto attempt = disk_health_.next_attempt()) at = std::min(at, *attempt);
-  if (!waiting_.empty()) at = std::min(at, waiting_.front().until);
-  if (in_flight_) at = std::min(at, in_flight_->until);
-  if (transferred_ && !transfer_begun_) at = std::min(at, transfer_from_ + kTransferWaits);
+  if (!queue_.empty()) at = std::min(at, queue_.front().deadline);
+  if (in_flight_) at = std::min(at, in_flight_->deadline);
+  if (transfer_done_ && !transfer_started_) at = std::min(at, transfer_since_ + kTransferGrace);
   timer_->ArmAt(at);
 }
 
-void Group::SayIfStuck(net::Time now) {
-  if (!member_->IsStuck(now, options_.member.lease * kStuckLeases)) return;
+void Group::LogIfStuck(net::Time now) {
+  if (!member_->IsStuck(now, options_.member.lease * kStuckAfterLeases)) return;
   std::string nodes;
   for (const CoreMember& replica : member_->record().replicas) nodes += " " + replica.node;
   log::Bounded(log::Level::kWarning, kModule, "stuck",
@@ -362,16 +370,16 @@
                SteadyMicros(now));
 }
 
-void Group::SayIfRecordChanged() {
+void Group::LogIfRecordChanged() {
   const Record& record = member_->record();
-  if (record.number == record_told_) return;
-  record_told_ = record.number;
+  if (record.number == logged_record_) return;
+  logged_record_ = record.number;
   log::Info(kModule, "record: " + DescriptionOf(record));
 }
 
 // ---- The map and the role.
 
-bool Group::Reload() {
+bool Group::ReloadContents() {
   Contents contents;
   std::vector<Write> all;
   member_->replica().ForEach(disk(), [&](std::string_view key, std::string_view value) {
@@ -381,12 +389,12 @@
   });
   if (disk().failed()) return false;
   contents_ = std::move(contents);
-  told_sequence_ = member_->replica().committed().sequence;
+  delivered_sequence_ = member_->replica().committed().sequence;
   if (watcher_.committed) watcher_.committed(all);
   return true;
 }
 
-void Group::Take(const Entry& entry) {
+void Group::ApplyEntry(const Entry& entry) {
   for (const Write& write : entry.writes) {
     if (write.value) {
       contents_[write.key] = *write.value;
@@ -394,7 +402,7 @@
       contents_.erase(write.key);
     }
   }
-  told_sequence_ = entry.position.sequence;
+  delivered_sequence_ = entry.position.sequence;
   if (watcher_.committed) watcher_.committed(entry.writes);
   if (!in_flight_ || entry.position.sequence < in_flight_->position.sequence) return;
   const Done done = std::move(in_flight_->done);
@@ -408,65 +416,65 @@
   if (same) {
     done(outcome::success());
   } else {
-    done(MakeError(ErrorCode::kUnknown, "another primary put something else in its place"));
+    done(MakeError(ErrorCode::kUnknown, "another primary has replaced this entry"));
   }
 }
 
-void Group::ToldRole(const MemberOutput::Role& role) {
-  told_primary_ = role.primary;
+void Group::OnRoleChange(const MemberOutput::Role& role) {
+  reported_primary_ = role.primary;
   log::Info(kModule, (role.primary ? "primary of epoch " : "no longer primary of epoch ") +
                          std::to_string(role.epoch));
   if (!role.primary) {
     if (in_flight_) {
-      AnswerLater(std::move(in_flight_->done),
-                  MakeError(ErrorCode::kUnknown, "no longer the primary"));
+      PostResult(std::move(in_flight_->done),
+                 MakeError(ErrorCode::kUnknown, "no longer the primary"));
       in_flight_.reset();
     }
-    for (Request& request : waiting_) {
-      AnswerLater(std::move(request.done), MakeError(ErrorCode::kUnavailable, "not the primary"));
+    for (QueuedPlan& request : queue_) {
+      PostResult(std::move(request.done), MakeError(ErrorCode::kUnavailable, "not the primary"));
     }
-    waiting_.clear();
+    queue_.clear();
   }
   if (watcher_.role) watcher_.role(role.primary, role.epoch);
 }
 
-void Group::TellIfCopiesChanged() {
-  const std::size_t there = is_primary() ? member_->responsive_replicas(loop_.Now()) : 0;
-  if (there == std::exchange(told_there_, there)) return;
-  if (there > 0 && watcher_.replicas_changed) watcher_.replicas_changed();
+void Group::NotifyIfReplicasChanged() {
+  const std::size_t responsive = is_primary() ? member_->responsive_replicas(loop_.Now()) : 0;
+  if (responsive == std::exchange(reported_replicas_, responsive)) return;
+  if (responsive > 0 && watcher_.replicas_changed) watcher_.replicas_changed();
 }
 
 // ---- Plans.
 
 void Group::Submit(Plan plan, Done done) {
-  if (!is_primary() || transferred_) {
-    AnswerLater(std::move(done), MakeError(ErrorCode::kUnavailable, "not the primary"));
+  if (!is_primary() || transfer_done_) {
+    PostResult(std::move(done), MakeError(ErrorCode::kUnavailable, "not the primary"));
     return;
   }
-  if (waiting_.size() >= kMaxQueuedPlans) {
-    AnswerLater(std::move(done), MakeError(ErrorCode::kExhausted, "too many orders are waiting"));
+  if (queue_.size() >= kMaxQueuedPlans) {
+    PostResult(std::move(done), MakeError(ErrorCode::kExhausted, "too many queued requests"));
     return;
   }
-  waiting_.push_back({std::move(plan), std::move(done), loop_.Now() + options_.patience / 2});
-  if (running_) return;  // Pumped behind the step.
+  queue_.push_back({std::move(plan), std::move(done), loop_.Now() + options_.ack_timeout / 2});
+  if (in_step_) return;  // RunStep starts queued plans after the step.
   loop_.Post([this, alive = alive_] {
-    if (*alive && !running_) Pump();
+    if (*alive && !in_step_) StartQueuedPlans();
   });
 }
 
-void Group::Pump() {
-  while (!running_ && !in_flight_ && !waiting_.empty() && member_->Serving(loop_.Now())) {
-    Request request = std::move(waiting_.front());
-    waiting_.pop_front();
-    Start(std::move(request));
+void Group::StartQueuedPlans() {
+  while (!in_step_ && !in_flight_ && !queue_.empty() && member_->Serving(loop_.Now())) {
+    QueuedPlan request = std::move(queue_.front());
+    queue_.pop_front();
+    RunPlan(std::move(request));
   }
-  if (transferred_ && !transfer_begun_ && !in_flight_ && !running_) BeginTransfer();
-  Arm();
+  if (transfer_done_ && !transfer_started_ && !in_flight_ && !in_step_) BeginTransfer();
+  ArmTimer();
 }
 
-void Group::Start(Request request) {
+void Group::RunPlan(QueuedPlan request) {
   const Result<std::vector<Write>> planned = request.plan(contents_);
-  // What was read was the newest only if this is the primary still.
+  // The plan has read the newest map only if this process is still the primary.
   if (!member_->Serving(loop_.Now())) {
     request.done(MakeError(ErrorCode::kUnavailable, "not the primary"));
     return;
@@ -484,14 +492,14 @@
     return;
   }
   std::optional<Error> refused;
-  const net::Time until = loop_.Now() + options_.patience;
-  Run([&](Step& step, MemberOutput& out) {
+  const net::Time deadline = loop_.Now() + options_.ack_timeout;
+  RunStep([&](Step& step, MemberOutput& out) {
     const Result<Position> position = member_->Propose(step, out, planned.value());
     if (position.has_error()) {
       refused = position.error();
       return;
     }
-    in_flight_ = InFlight{position.value(), step.ticket, request.done, until};
+    in_flight_ = InFlight{position.value(), step.ticket, request.done, deadline};
   });
   if (refused) request.done(*refused);
 }
@@ -500,49 +508,49 @@
   const storage::Usage usage = disk().usage();
   std::uint64_t bytes = 0;
   for (const Write& write : writes) {
-    // Once as an entry of the tail, once in the map.
+    // Stored twice: as an entry of the tail and in the map.
     if (write.value) bytes += 2 * (write.key.size() + write.value->size());
   }
   return bytes == 0 || usage.bytes_used + bytes <= usage.bytes_limit / 100 * kMaxDiskUsePercent;
 }
 
-void Group::Expire(net::Time now) {
-  if (in_flight_ && now >= in_flight_->until) {
-    AnswerLater(std::move(in_flight_->done),
-                MakeError(ErrorCode::kUnknown, "not acknowledged in time"));
+void Group::ExpirePlans(net::Time now) {
+  if (in_flight_ && now >= in_flight_->deadline) {
+    PostResult(std::move(in_flight_->done),
+               MakeError(ErrorCode::kUnknown, "not acknowledged in time"));
     in_flight_.reset();
   }
-  while (!waiting_.empty() && now >= waiting_.front().until) {
-    AnswerLater(std::move(waiting_.front().done),
-                MakeError(ErrorCode::kUnavailable, "the primary cannot act at the moment"));
-    waiting_.pop_front();
+  while (!queue_.empty() && now >= queue_.front().deadline) {
+    PostResult(std::move(queue_.front().done),
+               MakeError(ErrorCode::kUnavailable, "the primary did not become ready in time"));
+    queue_.pop_front();
   }
 }
 
-void Group::AnswerLater(Done done, Result<void> result) {
+void Group::PostResult(Done done, Result<void> result) {
   loop_.Post([done = std::move(done), result = std::move(result), alive = alive_] {
     if (*alive) done(result);
   });
 }
 
-// ---- Handing over.
+// ---- Transfer of the primary role.
 
 void Group::Transfer(std::function<void(bool)> done) {
-  if (transferred_) {
+  if (transfer_done_) {
     loop_.Post([done = std::move(done)] { done(false); });
     return;
   }
-  // The member has no disk meanwhile, and knows nothing of the one that refuses.
+  // The current member has no disk and knows nothing about the disk that refuses writes.
   if (failed()) {
     loop_.Post([done = std::move(done), released = !MayHoldReplica(), alive = alive_] {
       if (*alive) done(released);
     });
     return;
   }
-  transferred_ = std::move(done);
-  transfer_begun_ = false;
-  transfer_from_ = loop_.Now();
-  if (!running_) Pump();
+  transfer_done_ = std::move(done);
+  transfer_started_ = false;
+  transfer_since_ = loop_.Now();
+  if (!in_step_) StartQueuedPlans();
 }
 
 bool Group::MayHoldReplica() const {
@@ -552,16 +560,16 @@
 }
 
 void Group::BeginTransfer() {
-  transfer_begun_ = true;
-  Run([this](Step& step, MemberOutput& out) { member_->Transfer(step, out); });
+  transfer_started_ = true;
+  RunStep([this](Step& step, MemberOutput& out) { member_->Transfer(step, out); });
 }
 
 void Group::EndTransfer(bool moved) {
-  if (!transferred_) return;
-  loop_.Post([done = std::move(transferred_), moved, alive = alive_] {
+  if (!transfer_done_) return;
+  loop_.Post([done = std::move(transfer_done_), moved, alive = alive_] {
     if (*alive) done(moved);
   });
-  transferred_ = nullptr;
+  transfer_done_ = nullptr;
 }
 
 }  // namespace shelflink::coordination
--- a/src/tier/coordination/group.h
+++ b/src/tier/coordination/group.h
@@ -1,15 +1,17 @@
-// Runs a member of a group over a hub, a loop and a storage: the core's Replicator.
+// Runs a group member over a hub, an event loop and a storage; implements Replicator for the core.
 //
-// It carries messages, syncs and one timer, folds the committed map into memory and plays the plans
-// of Submit one at a time. All decisions are the Member's.
+// It delivers messages, performs syncs, drives one timer, keeps the committed map in memory and
+// runs submitted plans one at a time. All protocol decisions are made by Member.
 //
-// Where the storage fails it is a member without a disk from that step on, whose messages are not
-// sent: it forwards its owner to the primary and vouches for nothing. It tries to recover the
-// storage meanwhile, and starts a member of another incarnation from what the disk holds then, as a
-// started process does (docs/design/full-disks.md).
+// If the storage fails, the process continues from that step on as a member without a disk, and the
+// messages of that step are not sent. Such a member directs its owner to the primary and confirms
+// nothing to other members. The group meanwhile tries to recover the storage. When that succeeds it
+// starts a new member with a new incarnation from the content of the disk, like a newly started
+// process (docs/design/full-disks.md).
 //
-// Limits: kMaxQueuedPlans plans wait; one more is refused (kExhausted). Writes that would fill the
-// storage beyond kMaxDiskUsePercent are refused before anything happens.
+// Limits: at most kMaxQueuedPlans plans wait; further plans are rejected with kExhausted. Plans
+// whose writes would fill the storage beyond kMaxDiskUsePercent are rejected before anything is
+// written.
 #ifndef SHELFLINK_TIER_COORDINATION_GROUP_H_
 #define SHELFLINK_TIER_COORDINATION_GROUP_H_
 
@@ -39,18 +41,20 @@
 class Group : public Replicator {
  public:
   struct Options {
-    Member::Options member;       // `self` and `incarnation` are filled in by the group.
-    Milliseconds patience{3000};  // So long a write waits for its acknowledgement: then kUnknown.
+    Member::Options member;  // The group fills in `self` and `incarnation`.
+    Milliseconds ack_timeout{
+        3000};  // A write that is not acknowledged within this time fails with kUnknown.
   };
-  // What the settings say; `found` is true only where `bootstrap` is.
+  // The options for these settings. `found` is true only if `bootstrap` is set.
   static Options OptionsOf(const ProcessSettings& settings);
-  // The storage of a core process; null without a disk. One that has no room to be opened has
-  // failed and is recovered once there is room; other errors are returned.
+  // Opens the storage of a core process; null if it has no disk. If there is no disk space to open
+  // the storage, it is returned in the failed state and is recovered once there is space. Other
+  // errors are returned.
   static Result<std::unique_ptr<storage::Storage>> OpenStorage(net::Loop& loop,
                                                                const ProcessSettings& settings);
 
-  // Without a storage it is no member and forwards its owner to the primary. `random` draws the
-  // identity of an empty disk and the incarnations after the first, which is the hub's.
+  // Without a storage the process is no member and only directs its owner to the primary. `random`
+  // generates the identity of an empty disk and all incarnations but the first, which is the hub's.
   Group(net::Loop& loop, transport::Hub& hub, std::unique_ptr<storage::Storage> storage,
         Options options, std::function<std::uint64_t()> random);
   Group(net::Loop& loop, transport::Hub& hub, const ProcessSettings& settings,
@@ -70,88 +74,90 @@
   void Transfer(std::function<void(bool)> done) override;
 
   void SetSeeds(const std::vector<net::Address>& control_seeds, const ProcessSettings& settings);
-  // The disk refuses: this process vouches for nothing until it takes writes again.
-  bool failed() const { return disk_health_.status().refuses; }
+  // Whether the disk refuses writes. Until it accepts writes again, this process confirms nothing
+  // to other members.
+  bool failed() const { return disk_health_.status().refuses_writes; }
   const DiskStatus& disk_status() const { return disk_health_.status(); }
   const Member& member() const { return *member_; }
-  // Of the disk; zeros without one.
+  // Usage of the disk; zeros without a disk.
   storage::Usage disk_usage() const { return storage_ ? storage_->usage() : storage::Usage{}; }
 
  private:
-  struct Request {
+  struct QueuedPlan {
     Plan plan;
     Done done;
-    net::Time until{};
+    net::Time deadline{};
   };
   struct InFlight {
     Position position;
-    Ticket ticket = 0;  // Of the step that stored it.
+    Ticket ticket = 0;  // Ticket of the step that stored the entry.
     Done done;
-    net::Time until{};
+    net::Time deadline{};
   };
   using Event = std::function<void(Step&, MemberOutput&)>;
 
-  // What the present member stores on.
+  // The storage of the current member: the disk, or a null storage if the disk has failed.
   storage::Storage& disk();
-  void TakeIdentity();
+  void LoadIdentity();
   Member::Options MemberOptions();
   void StartMember();
-  void Run(const Event& event);
-  void Carry(const MemberOutput& out);
+  void RunStep(const Event& event);
+  void ApplyOutput(const MemberOutput& out);
   void Send(const net::Address& to, const Message& message);
-  void SyncFor(Ticket ticket);
-  void OnBody(const transport::PeerIdentity& from, std::string_view body);
+  void RequestSync(Ticket ticket);
+  void OnFrame(const transport::PeerIdentity& from, std::string_view body);
   void OnTimer();
-  void Arm();
-  // False: the disk has failed.
-  bool Reload();
-  void Take(const Entry& entry);
-  void ToldRole(const MemberOutput::Role& role);
-  void Pump();
-  void Start(Request request);
+  void ArmTimer();
+  // Reads the committed map from the disk and reports all of it. Returns false if the disk failed.
+  bool ReloadContents();
+  void ApplyEntry(const Entry& entry);
+  void OnRoleChange(const MemberOutput::Role& role);
+  void StartQueuedPlans();
+  void RunPlan(QueuedPlan request);
   bool HasRoomFor(const std::vector<Write>& writes);
-  void Expire(net::Time now);
-  void AnswerLater(Done done, Result<void> result);
+  void ExpirePlans(net::Time now);
+  void PostResult(Done done, Result<void> result);
   void OnDiskFailure();
   void TryRecovery();
   void OnRecovered();
   void OnRecoveryFailed();
-  // Whether the newest record that is known may name the disk of this process, also while it
-  // refuses.
+  // Whether the newest known record may name the disk of this process as a replica, even if the
+  // disk refuses writes.
   bool MayHoldReplica() const;
   void BeginTransfer();
   void EndTransfer(bool moved);
-  void SayIfStuck(net::Time now);
-  void SayIfRecordChanged();
-  void TellIfCopiesChanged();
+  void LogIfStuck(net::Time now);
+  void LogIfRecordChanged();
+  void NotifyIfReplicasChanged();
 
   net::Loop& loop_;
   transport::Hub& hub_;
-  std::unique_ptr<storage::Storage> storage_;  // None: a process without a disk.
+  std::unique_ptr<storage::Storage> storage_;  // Null: a process without a disk.
   storage::NoStorage no_storage_;
   Options options_;
   std::function<std::uint64_t()> random_;
   DiskHealth disk_health_;
-  std::string identity_;    // Of the disk.
-  bool may_found_ = false;  // Nothing that a member of this process stored is durable yet.
-  std::uint64_t life_ = 0;  // Of the present member; what belonged to earlier ones is void.
-  std::uint64_t told_sequence_ = 0;  // The owner knows the map up to here.
+  std::string identity_;          // Identity of the disk.
+  bool may_bootstrap_ = false;    // No state of a member of this process is durable yet.
+  std::uint64_t generation_ = 0;  // Of the present member; what belonged to earlier ones is void.
+  std::uint64_t delivered_sequence_ = 0;  // The owner has received the map up to here.
   std::unique_ptr<Member> member_;
   net::TimerPtr timer_;
+  // Set to false by the destructor; posted callbacks check it first.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Watcher watcher_;
   Contents contents_;
-  std::deque<Request> waiting_;
+  std::deque<QueuedPlan> queue_;
   std::optional<InFlight> in_flight_;
   Ticket ticket_ = 0;
   Ticket synced_ticket_ = 0;
-  bool running_ = false;  // Inside a step and what it brings about.
-  bool told_primary_ = false;
-  std::size_t told_there_ = 0;     // Replicas; as primary.
-  std::uint64_t record_told_ = 0;  // Number of the record that the log has told last.
-  std::function<void(bool)> transferred_;
-  bool transfer_begun_ = false;
-  net::Time transfer_from_{};
+  bool in_step_ = false;  // A step or the processing of its output is in progress.
+  bool reported_primary_ = false;
+  std::size_t reported_replicas_ = 0;  // Responsive replicas last reported, if this is the primary.
+  std::uint64_t logged_record_ = 0;    // Number of the record that was logged last.
+  std::function<void(bool)> transfer_done_;
+  bool transfer_started_ = false;
+  net::Time transfer_since_{};
 };
 
 }  // namespace shelflink::coordination
--- a/src/tier/coordination/member_selection.cpp
+++ b/src/tier/coordination/member_selection.cpp
@@ -16,13 +16,13 @@
   }
 }
 
-std::size_t WitnessCount(std::size_t known, std::size_t failures) {
-  const bool odd = known % 2 == 1;
-  return odd || known <= 2 * failures ? known : known - 1;
+std::size_t WitnessCount(std::size_t disks, std::size_t failures) {
+  const bool odd = disks % 2 == 1;
+  return odd || disks <= 2 * failures ? disks : disks - 1;
 }
 
-bool IsReplaced(const CoreMember& member, const std::vector<CoreMember>& there) {
-  return std::any_of(there.begin(), there.end(), [&](const CoreMember& other) {
+bool IsReplaced(const CoreMember& member, const std::vector<CoreMember>& responsive) {
+  return std::any_of(responsive.begin(), responsive.end(), [&](const CoreMember& other) {
     return other.address == member.address && other.disk != member.disk;
   });
 }
@@ -41,39 +41,40 @@
   return picked;
 }
 
-std::vector<CoreMember> ChooseReplicas(const ReplicaCandidates& situation) {
-  std::vector<CoreMember> chosen = situation.responsive;
-  if (chosen.size() < situation.max_count) {
+std::vector<CoreMember> ChooseReplicas(const ReplicaCandidates& candidates) {
+  std::vector<CoreMember> chosen = candidates.responsive;
+  if (chosen.size() < candidates.max_count) {
     const auto joining =
-        SpreadOverZones(chosen, situation.caught_up, situation.max_count - chosen.size());
+        SpreadOverZones(chosen, candidates.caught_up, candidates.max_count - chosen.size());
     chosen.insert(chosen.end(), joining.begin(), joining.end());
   }
-  AddUpTo(chosen, situation.silent, situation.min_count);
+  AddUpTo(chosen, candidates.silent, candidates.min_count);
   return chosen;
 }
 
-std::vector<CoreMember> ChooseWitnesses(const std::vector<CoreMember>& present,
-                                        const std::vector<CoreMember>& there,
+std::vector<CoreMember> ChooseWitnesses(const std::vector<CoreMember>& current,
+                                        const std::vector<CoreMember>& responsive,
                                         std::size_t failures) {
-  std::vector<CoreMember> staying;
+  std::vector<CoreMember> remaining;
   std::vector<CoreMember> silent;
-  for (const CoreMember& witness : present) {
-    if (FindDisk(there, witness.disk) != nullptr) {
-      staying.push_back(witness);
-    } else if (!IsReplaced(witness, there)) {
+  for (const CoreMember& witness : current) {
+    if (FindDisk(responsive, witness.disk) != nullptr) {
+      remaining.push_back(witness);
+    } else if (!IsReplaced(witness, responsive)) {
       silent.push_back(witness);
     }
   }
   std::vector<CoreMember> others;
-  for (const CoreMember& member : there) {
-    if (FindDisk(present, member.disk) == nullptr) others.push_back(member);
+  for (const CoreMember& member : responsive) {
+    if (FindDisk(current, member.disk) == nullptr) others.push_back(member);
   }
-  // Silent ones fill places that exist; they are no reason for more.
-  const std::size_t live = staying.size() + others.size();
-  const std::size_t known =
-      live >= present.size() ? live : std::min(present.size(), live + silent.size());
-  const std::size_t size = std::min(WitnessCount(known, failures), kMaxWitnesses);
-  std::vector<CoreMember> chosen = std::move(staying);
+  // Silent witnesses keep existing places; they do not increase the number of witnesses.
+  const std::size_t responsive_count = remaining.size() + others.size();
+  const std::size_t disks = responsive_count >= current.size()
+                                ? responsive_count
+                                : std::min(current.size(), responsive_count + silent.size());
+  const std::size_t size = std::min(WitnessCount(disks, failures), kMaxWitnesses);
+  std::vector<CoreMember> chosen = std::move(remaining);
   if (chosen.size() < size) {
     const auto joining = SpreadOverZones(chosen, others, size - chosen.size());
     chosen.insert(chosen.end(), joining.begin(), joining.end());
--- a/src/tier/coordination/member_selection.h
+++ b/src/tier/coordination/member_selection.h
@@ -1,4 +1,4 @@
-// Which disks the next record names: pure functions over who is there.
+// Selection of the replicas and witnesses of the next record. Pure functions.
 #ifndef SHELFLINK_TIER_COORDINATION_MEMBER_SELECTION_H_
 #define SHELFLINK_TIER_COORDINATION_MEMBER_SELECTION_H_
 
@@ -9,33 +9,35 @@
 
 namespace shelflink::coordination {
 
-// Most witnesses: more do not help while replacements are named as soon as one is silent.
+// More witnesses do not help, since a silent witness is replaced at once.
 constexpr std::size_t kMaxWitnesses = 7;
 
-// From those offered, first come first, at most `count`, one of a zone that is not covered yet
-// before others.
+// Picks at most `count` of `offered` in their order, but first one member per zone that is not
+// covered by `chosen` or by an earlier pick.
 std::vector<CoreMember> SpreadOverZones(const std::vector<CoreMember>& chosen,
                                         const std::vector<CoreMember>& offered, std::size_t count);
 
 struct ReplicaCandidates {
-  std::vector<CoreMember> responsive;  // Replicas that are there, the primary first.
-  std::vector<CoreMember> silent;      // Replicas that are not.
-  std::vector<CoreMember> caught_up;   // Others that have everything.
+  std::vector<CoreMember> responsive;  // Replicas that respond, the primary first.
+  std::vector<CoreMember> silent;      // Replicas that do not respond.
+  std::vector<CoreMember> caught_up;   // Other members that have the whole map.
   std::size_t min_count = 2;           // Fault tolerance + 1.
   std::size_t max_count = 3;
 };
-// Never fewer than `least` if as many are known: a silent one stays until another has caught up.
-std::vector<CoreMember> ChooseReplicas(const ReplicaCandidates& situation);
+// Selects at least `min_count` replicas if that many are known: a silent replica stays until
+// another member has caught up.
+std::vector<CoreMember> ChooseReplicas(const ReplicaCandidates& candidates);
 
-// As many as are there: witnesses that are there keep their place, silent ones give theirs to
-// others that are there and stay if there are none. A silent one whose address belongs to another
-// disk by now is gone for good.
+// Selects as many witnesses as members respond. Witnesses that respond stay; silent witnesses are
+// replaced by other members that respond, and stay if there are none. A silent witness whose
+// address now belongs to another disk is lost and is dropped.
 //
-// An odd number of them where a majority outlives `failures` losses at one time. With 2 * failures
-// disks or fewer there is no such majority; then an even number may be chosen, since the half that
-// is left can go on without lost ones whose machines return (see IsQuorum).
-std::vector<CoreMember> ChooseWitnesses(const std::vector<CoreMember>& present,
-                                        const std::vector<CoreMember>& there, std::size_t failures);
+// The number is odd if a majority survives the simultaneous loss of `failures` disks. With at most
+// 2 * failures disks there is no such majority. The number may then be even, since the half that is
+// left can continue without lost witnesses whose machines return (see IsQuorum).
+std::vector<CoreMember> ChooseWitnesses(const std::vector<CoreMember>& current,
+                                        const std::vector<CoreMember>& responsive,
+                                        std::size_t failures);
 
 }  // namespace shelflink::coordination
 
--- a/src/tier/coordination/messages.cpp
+++ b/src/tier/coordination/messages.cpp
@@ -9,8 +9,8 @@
 using cbor::Reader;
 using cbor::Writer;
 
-// Every count is checked against the input as the items are read: a Reader that fails ends the
-// loop.
+// The count needs no check of its own: reading past the end of the input makes the Reader fail,
+// which ends the loop.
 template <typename T, typename ReadOne>
 std::vector<T> ReadList(Reader& in, ReadOne read_one) {
   std::vector<T> list;
@@ -25,18 +25,18 @@
   for (const T& item : list) write_one(out, item);
 }
 
-void ExpectArray(Reader& in, std::size_t least) {
-  if (in.Array() < least) in.Fail();
+void ExpectArray(Reader& in, std::size_t min_size) {
+  if (in.Array() < min_size) in.Fail();
 }
 
-void WriteMaybe(Writer& out, const std::optional<Record>& record) {
+void WriteOptional(Writer& out, const std::optional<Record>& record) {
   if (record) {
     Put(out, *record);
   } else {
     out.Null();
   }
 }
-std::optional<Record> ReadMaybe(Reader& in) {
+std::optional<Record> ReadOptional(Reader& in) {
   if (in.TakeNull()) return std::nullopt;
   return ReadRecord(in);
 }
@@ -128,12 +128,12 @@
   return contents;
 }
 
-// ---- One pair of functions a message: its fields in order.
+// ---- One pair of functions per message type, with its fields in wire order.
 
-constexpr std::size_t kEntryOverhead = 64;
+constexpr std::size_t kEntryOverheadBytes = 64;
 
-constexpr std::size_t kFields[] = {2, 7, 3, 5, 1, 3, 3, 3, 0, 4, 5, 5, 6};
-static_assert(std::size(kFields) == std::variant_size_v<Message>);
+constexpr std::size_t kFieldCounts[] = {2, 7, 3, 5, 1, 3, 3, 3, 0, 4, 5, 5, 6};
+static_assert(std::size(kFieldCounts) == std::variant_size_v<Message>);
 
 void WriteFields(Writer& out, const Prepare& m) {
   Put(out, m.base);
@@ -151,7 +151,7 @@
   Put(out, m.blocking);
   out.Uint(m.lease_remaining_ms);
   Put(out, m.accepted);
-  WriteMaybe(out, m.value);
+  WriteOptional(out, m.value);
 }
 void ReadFields(Reader& in, PrepareReply& m) {
   m.number = in.Uint();
@@ -160,7 +160,7 @@
   m.blocking = ReadBallot(in);
   m.lease_remaining_ms = in.Uint();
   m.accepted = ReadBallot(in);
-  m.value = ReadMaybe(in);
+  m.value = ReadOptional(in);
 }
 
 void WriteFields(Writer& out, const Accept& m) {
@@ -294,7 +294,7 @@
 
 std::string Encode(const Message& message) {
   Writer out;
-  out.Array(1 + kFields[message.index()]).Uint(message.index());
+  out.Array(1 + kFieldCounts[message.index()]).Uint(message.index());
   std::visit([&](const auto& m) { WriteFields(out, m); }, message);
   return out.Take();
 }
@@ -304,12 +304,12 @@
   const std::size_t items = in.Array();
   const std::uint64_t kind = in.Uint();
   if (!in.ok() || kind >= std::variant_size_v<Message>) return std::nullopt;
-  if (items < 1 + kFields[kind]) return std::nullopt;
+  if (items < 1 + kFieldCounts[kind]) return std::nullopt;
   return ReadKind(in, kind, std::make_index_sequence<std::variant_size_v<Message>>());
 }
 
 std::size_t SizeOf(const Entry& entry) {
-  std::size_t bytes = kEntryOverhead;
+  std::size_t bytes = kEntryOverheadBytes;
   for (const Write& write : entry.writes) {
     bytes += write.key.size() + (write.value ? write.value->size() : 0);
   }
--- a/src/tier/coordination/messages.h
+++ b/src/tier/coordination/messages.h
@@ -1,4 +1,4 @@
-// What members of a group tell each other. Each message is one CBOR array.
+// Messages between the members of a group. Each message is encoded as one CBOR array.
 #ifndef SHELFLINK_TIER_COORDINATION_MESSAGES_H_
 #define SHELFLINK_TIER_COORDINATION_MESSAGES_H_
 
@@ -14,23 +14,23 @@
 
 namespace shelflink::coordination {
 
-// ---- Deciding the next record (single-decree Paxos among the witnesses of `base`).
+// ---- Consensus on the next record: single-decree Paxos among the witnesses of `base`.
 
 struct Prepare {
-  Record base;  // Decided.
+  Record base;  // A decided record.
   Ballot ballot;
 };
 struct PrepareReply {
-  std::uint64_t number = 0;  // Of the record to be decided.
+  std::uint64_t number = 0;  // Number of the record to be decided.
   Ballot ballot;
   bool promised = false;
-  Ballot blocking;                       // Where refused: a higher ballot, if that is why.
-  std::uint64_t lease_remaining_ms = 0;  // Where refused: a lease, if that is why.
-  Ballot accepted;                       // Round 0: nothing was accepted.
-  std::optional<Record> value;           // What was accepted.
+  Ballot blocking;                       // If refused because of a higher ballot: that ballot.
+  std::uint64_t lease_remaining_ms = 0;  // If refused because of a lease: its remaining time.
+  Ballot accepted;                       // Round 0: no value was accepted.
+  std::optional<Record> value;           // The accepted value.
 };
 struct Accept {
-  Record base;  // Decided.
+  Record base;  // A decided record.
   Ballot ballot;
   Record value;
 };
@@ -47,30 +47,31 @@
 
 // ---- Leases and membership.
 
-// From the primary, several times a lease.
+// Lease renewal, sent by the primary several times per lease.
 struct Renew {
   std::uint64_t number = 0;
-  std::uint64_t token = 0;  // Returned by the answer: when this was sent.
-  bool invite = false;      // Catch up, to become a replica.
+  std::uint64_t token = 0;  // Send time, echoed in the reply.
+  bool invite = false;      // Asks the receiver to catch up so that it can become a replica.
 };
 struct RenewReply {
   std::uint64_t number = 0;
   std::uint64_t token = 0;
   bool granted = false;
 };
-// From whoever has no primary or is new. Answered by Decided where the receiver knows a newer
-// record.
+// Sent by a member that knows no primary or has just started. A receiver that knows a newer record
+// replies with Decided.
 struct Hello {
   std::uint64_t number = 0;
-  bool fresh = false;        // Founding member without a record.
-  bool wants_reply = false;  // Wants to know whether the receiver is there.
+  bool fresh = false;        // The sender is a founding member without a record.
+  bool wants_reply = false;  // Asks the receiver to reply, to show that it is running.
 };
-// The sender is about to stop.
+// Sent by a member that is about to stop.
 struct Leave {};
 
-// ---- Replication (replica.h), under one epoch.
+// ---- Replication within one epoch (replica.h).
 
-// Of an entry: the epoch in which it was made, and its place. Equal positions are equal entries.
+// Position of an entry: the epoch in which it was created, and its sequence number. Entries with
+// equal positions are equal.
 struct Position {
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;
@@ -80,24 +81,24 @@
   Position position;
   std::vector<Write> writes;
 };
-// About what it takes in memory and on the wire.
+// Approximate size in memory and on the wire, in bytes.
 std::size_t SizeOf(const Entry& entry);
 
 struct Append {
   std::uint64_t epoch = 0;
-  Position previous;  // Of the entry before the first one.
+  Position previous;  // Position of the entry before the first of `entries`.
   std::vector<Entry> entries;
   std::uint64_t committed = 0;
 };
 struct AppendReply {
   std::uint64_t epoch = 0;
   bool matched = false;
-  std::uint64_t match = 0;        // Matched: all up to here is synced.
-  std::uint64_t resend_from = 0;  // Not matched.
-  std::uint64_t session = 0;      // Of a learner that has everything; 0: not one.
+  std::uint64_t match = 0;        // If matched: all entries up to this sequence are synced.
+  std::uint64_t resend_from = 0;  // If not matched: the sequence to resend from.
+  std::uint64_t session = 0;      // Session of a learner that is caught up; 0: not a learner.
 };
 
-// Keys from `from` on, below `until`; empty `until`: to the end.
+// The keys in [from, until). An empty `until` means no upper bound.
 struct KeyRange {
   std::string from;
   std::string until;
@@ -109,21 +110,21 @@
   std::uint64_t bytes = 0;
 };
 struct RangeContents {
-  KeyRange range;  // What `items` cover: all of its keys.
+  KeyRange range;  // `items` are all keys of this range.
   std::vector<std::pair<std::string, std::string>> items;
 };
 struct CatchUpRequest {
   std::uint64_t epoch = 0;
   std::uint64_t session = 0;
-  bool start = false;             // Begin to stream; the digests of all keys are answered.
-  std::vector<KeyRange> digests;  // Digests of parts of these, please.
-  std::vector<KeyRange> contents;
+  bool start = false;  // Starts streaming; the reply holds digests of the whole key space.
+  std::vector<KeyRange> digests;   // Ranges whose parts' digests are requested.
+  std::vector<KeyRange> contents;  // Ranges whose items are requested.
 };
 struct CatchUpReply {
   std::uint64_t epoch = 0;
   std::uint64_t session = 0;
   bool start = false;
-  Position at;  // The contents are those committed here.
+  Position at;  // `contents` are the committed contents at this position.
   std::vector<RangeDigest> digests;
   std::vector<RangeContents> contents;
 };
@@ -132,10 +133,10 @@
 using Message = std::variant<Prepare, PrepareReply, Accept, AcceptReply, Decided, Renew, RenewReply,
                              Hello, Leave, Append, AppendReply, CatchUpRequest, CatchUpReply>;
 
-// A Message keeps its number here over the wire: append only.
+// The index of an alternative of Message is its type number on the wire: only append to the list.
 std::string Encode(const Message& message);
 std::optional<Message> DecodeMessage(std::string_view data);
-// Of an entry alone, as replicas store it.
+// Encoding of a single entry, as replicas store it.
 std::string EncodeEntry(const Entry& entry);
 std::optional<Entry> DecodeEntry(std::string_view data);
 
--- a/src/tier/coordination/proposer.cpp
+++ b/src/tier/coordination/proposer.cpp
@@ -4,10 +4,10 @@
 
 namespace shelflink::coordination {
 
-bool Proposer::CountReply(const CoreMember& from, bool yes, const Ballot& blocking,
+bool Proposer::CountReply(const CoreMember& from, bool agreed, const Ballot& blocking,
                           std::uint64_t lease_remaining_ms) {
   if (!IsWitnessOf(base_, from) || !replied_.insert(Key(from)).second) return false;
-  ++(yes ? agreed_ : refused_);
+  ++(agreed ? agreed_ : refused_);
   blocking_ = std::max(blocking_, blocking);
   lease_remaining_ms_ = std::max(lease_remaining_ms_, lease_remaining_ms);
   if (refused_ > base_.witnesses.size() - Majority(base_)) phase_ = Phase::kRefused;
--- a/src/tier/coordination/proposer.h
+++ b/src/tier/coordination/proposer.h
@@ -1,10 +1,10 @@
-// Gets one record decided by the witnesses of its predecessor: the proposer of single-decree Paxos.
+// The proposer of single-decree Paxos: gets one record decided by the witnesses of its predecessor.
 //
-// Pure, and without time: its owner repeats the requests and gives up when it likes. What was asked
-// to be accepted may come to be decided long after.
+// Pure and without timeouts: the owner resends the requests and decides when to give up. A proposed
+// value may still be decided long after that.
 //
-// A witness whose disk is lost can never answer. Where its machine answers this very ballot with
-// another disk, which can only have come after it, the ballot does without it (see IsQuorum).
+// A witness whose disk is lost can never reply. If its machine replies to this ballot with another
+// disk, which can only be a later one, the ballot does without the lost witness (see IsQuorum).
 #ifndef SHELFLINK_TIER_COORDINATION_PROPOSER_H_
 #define SHELFLINK_TIER_COORDINATION_PROPOSER_H_
 
@@ -22,10 +22,10 @@
  public:
   enum class Phase {
     kPreparing,
-    kPrepared,  // A majority promised: a value may be proposed.
+    kPrepared,  // A quorum has promised: a value may be proposed.
     kAccepting,
     kDecided,
-    kRefused,  // A majority is out of reach for this ballot.
+    kRefused,  // So many witnesses refused that no majority can agree to this ballot.
   };
 
   Proposer(Record base, Ballot ballot) : base_(std::move(base)), ballot_(std::move(ballot)) {}
@@ -35,37 +35,37 @@
   const Ballot& ballot() const { return ballot_; }
   Prepare MakePrepare() const { return {base_, ballot_}; }
   Accept MakeAccept() const { return {base_, ballot_, value_}; }
-  // The highest ballot and the longest rest of a lease that stood in the way.
+  // The highest ballot and the longest remaining lease that caused a refusal.
   const Ballot& blocking() const { return blocking_; }
   std::uint64_t lease_remaining_ms() const { return lease_remaining_ms_; }
 
   void OnReply(const CoreMember& from, const PrepareReply& reply);
   void OnReply(const CoreMember& from, const AcceptReply& reply);
-  // Whether an earlier proposal may have been decided already: it is taken over.
+  // The value of an earlier proposal that may have been decided already. It is proposed again.
   const std::optional<Record>& earlier_value() const { return earlier_value_; }
-  // In phase kPrepared: `own` is proposed unless another value was found.
+  // In phase kPrepared: proposes `own` unless there is an earlier value.
   void Propose(const Record& own);
-  const Record& value() const { return value_; }  // From phase kAccepting on.
+  const Record& value() const { return value_; }  // Valid from phase kAccepting on.
   bool HasReplied(const CoreMember& witness) const { return replied_.count(Key(witness)) > 0; }
 
+  // Writes the state for tests, which use it to recognize equal states.
   void Fingerprint(cbor::Writer& out) const;
 
  private:
-  // Witnesses of record 0 are known by address, later ones by disk.
+  // Witnesses of record 0 are identified by address, those of later records by disk.
   std::string Key(const CoreMember& member) const {
     return base_.number == 0 ? member.address.Text() : member.disk;
   }
   bool HasQuorum() const { return IsQuorum(base_, agreed_, replaced_disks_.size()); }
-  // Returns whether the answer is the first of this witness in this phase.
-  bool CountReply(const CoreMember& from, bool yes, const Ballot& blocking,
+  // Counts a reply. Returns false if `from` is no witness or has already replied in this phase.
+  bool CountReply(const CoreMember& from, bool agreed, const Ballot& blocking,
                   std::uint64_t lease_remaining_ms);
 
   Record base_;
   Ballot ballot_;
   Phase phase_ = Phase::kPreparing;
-  std::set<std::string> replied_;  // In this phase.
-  std::set<std::string>
-      replaced_disks_;  // Disks of witnesses from whose machine another one answered.
+  std::set<std::string> replied_;         // Keys of the witnesses that replied in this phase.
+  std::set<std::string> replaced_disks_;  // Witness disks whose machine replied with another disk.
   std::size_t agreed_ = 0;
   std::size_t refused_ = 0;
   Ballot blocking_;
--- a/src/tier/coordination/record.cpp
+++ b/src/tier/coordination/record.cpp
@@ -7,12 +7,12 @@
 namespace {
 constexpr std::size_t kMaxMembers = 64;
 
-void WriteAll(cbor::Writer& out, const std::vector<CoreMember>& members) {
+void WriteMembers(cbor::Writer& out, const std::vector<CoreMember>& members) {
   out.Array(members.size());
   for (const CoreMember& member : members) Put(out, member);
 }
 
-std::string NodesOf(const std::vector<CoreMember>& members) {
+std::string NodeNames(const std::vector<CoreMember>& members) {
   std::string nodes;
   for (const CoreMember& member : members) nodes += " " + member.node;
   return nodes;
@@ -39,10 +39,10 @@
 
 std::size_t Majority(const Record& base) { return base.witnesses.size() / 2 + 1; }
 
-bool IsQuorum(const Record& base, std::size_t agreed, std::size_t gone) {
+bool IsQuorum(const Record& base, std::size_t agreed, std::size_t replaced) {
   if (agreed >= Majority(base)) return true;
-  if (gone >= Majority(base)) return false;  // They alone may have decided already.
-  return gone > 0 && agreed + gone >= base.witnesses.size();
+  if (replaced >= Majority(base)) return false;  // They may have decided a record alone.
+  return replaced > 0 && agreed + replaced >= base.witnesses.size();
 }
 
 const CoreMember* ReplacedWitness(const Record& base, const CoreMember& member) {
@@ -74,8 +74,8 @@
 std::string DescriptionOf(const Record& record) {
   const CoreMember* primary = FindDisk(record.replicas, record.primary);
   return "epoch " + std::to_string(record.number) + ", primary " +
-         (primary == nullptr ? "none" : primary->node) + ", replicas" + NodesOf(record.replicas) +
-         ", witnesses" + NodesOf(record.witnesses);
+         (primary == nullptr ? "none" : primary->node) + ", replicas" + NodeNames(record.replicas) +
+         ", witnesses" + NodeNames(record.witnesses);
 }
 
 void Put(cbor::Writer& out, const CoreMember& member) {
@@ -107,8 +107,8 @@
 
 void Put(cbor::Writer& out, const Record& record) {
   out.Array(5).Uint(record.number).Text(record.primary).Uint(record.incarnation);
-  WriteAll(out, record.replicas);
-  WriteAll(out, record.witnesses);
+  WriteMembers(out, record.replicas);
+  WriteMembers(out, record.witnesses);
 }
 
 Record ReadRecord(cbor::Reader& in) {
--- a/src/tier/coordination/replicator.h
+++ b/src/tier/coordination/replicator.h
@@ -1,8 +1,9 @@
-// A replicated ordered map under one primary: what others embed of the coordination library.
+// A replicated ordered map with a single primary: the public interface of the coordination library.
 //
-// The primary of an epoch decides; a write is acknowledged when every replica of the epoch's set
-// (fault tolerance + 1 at least) has it synced. Witnesses keep only epochs (number, primary,
-// replica set, witnesses) and decide by majority who follows. There is no majority log.
+// The primary of an epoch orders all writes. A write is acknowledged when every replica of the
+// epoch's replica set (at least fault tolerance + 1 disks) has synced it. Witnesses store only
+// epoch records (number, primary, replica set, witnesses) and elect the next primary by majority.
+// There is no log that is replicated by majority.
 #ifndef SHELFLINK_TIER_COORDINATION_REPLICATOR_H_
 #define SHELFLINK_TIER_COORDINATION_REPLICATOR_H_
 
@@ -22,25 +23,26 @@
 
 struct Write {
   std::string key;
-  std::optional<std::string> value;  // None: removed.
+  std::optional<std::string> value;  // None: the key is removed.
 };
 
-// The committed map as this replica knows it; ordered.
+// The committed map as far as this replica knows it, ordered by key.
 using Contents = std::map<std::string, std::string, std::less<>>;
 
+// A member of the group. The disk identifies it.
 struct CoreMember {
   std::string node;
   std::string zone;
-  std::string disk;  // Identity, drawn when the disk was empty; another disk is another member.
+  std::string disk;  // Identity, drawn when the disk was empty. A new disk is a new member.
   net::Address address;
 };
 
-// How the disk of a member stands, as the primary knows it.
+// State of a member's disk as seen by the primary.
 enum class DiskState : std::uint8_t {
-  kTakesWrites,    // It answers.
-  kSilent,         // Nothing has been heard of it for longer than a moment.
-  kRefusesWrites,  // Its process answers, without a disk that takes writes.
-  kReplaced,       // Another disk answers in its place: this one is lost.
+  kTakesWrites,    // The member responds.
+  kSilent,         // No message from the member for longer than the silence limit.
+  kRefusesWrites,  // The process responds, but without a disk that accepts writes.
+  kReplaced,       // Another disk responds at the member's address: this disk is lost.
 };
 
 struct MemberStatus {
@@ -48,36 +50,40 @@
   bool is_replica = false;
   bool is_witness = false;
   DiskState disk_state = DiskState::kSilent;
-  std::optional<net::Time> heard_at;  // Of this disk; none: never by this process.
+  std::optional<net::Time>
+      heard_at;  // Last message of this disk; none: not since this process began.
 };
 
-// The copies of the map, and what is copied to make more of them.
+// State of the replicas of the map, and progress of the copies that are being made.
 struct ReplicationStatus {
   std::vector<MemberStatus> members;
-  std::size_t wanted = 0;                   // Replicas: fault tolerance + 1.
-  std::uint64_t bytes_copied = 0;           // To learners, since the process began.
-  std::optional<std::uint64_t> bytes_left;  // To the learner that has come furthest, at most.
+  std::size_t wanted = 0;                   // Number of replicas: fault tolerance + 1.
+  std::uint64_t bytes_copied = 0;           // Sent to learners since the process began.
+  std::optional<std::uint64_t> bytes_left;  // Upper bound, for the learner with the least left.
 };
 
-// The interface; coordination/group.h runs it over a hub and LMDB, tests use one of their own.
+// The interface of the replicated map. coordination/group.h implements it over a hub and LMDB;
+// tests use their own implementation.
 class Replicator {
  public:
-  // Runs on the primary, one at a time, on everything committed before: the writes to make, or why
-  // not. No writes: `done` is told only once it is certain that this was still the primary (a
-  // linearizable read).
+  // Runs on the primary, one plan at a time, on the map with all earlier commits. Returns the
+  // writes to make, or the error that rejects the request. A plan without writes is a linearizable
+  // read: `done` is called only once it is certain that this process was still the primary.
   using Plan = std::function<Result<std::vector<Write>>(const Contents& committed)>;
-  // kUnavailable: not the primary, nothing happened. kUnknown: it may come into force or not.
+  // Errors: kUnavailable: not the primary, nothing was written. kUnknown: the write may or may not
+  // be committed.
   using Done = std::function<void(Result<void>)>;
 
+  // Callbacks to the owner of the replicator.
   struct Watcher {
-    // On every replica, in order, as soon as it knows them committed. All of the contents after a
-    // start or a catch-up: `writes` then holds every key.
+    // Called on every replica, in commit order, as soon as it knows that the writes are committed.
+    // After a start or a catch-up `writes` holds the whole map.
     std::function<void(const std::vector<Write>& writes)> committed;
-    // This replica has become the primary of that epoch, or is it no longer. As primary all earlier
-    // commits have been told.
+    // This replica has become the primary of `epoch` or has stopped being it. A new primary has
+    // already reported all earlier commits.
     std::function<void(bool primary, std::uint64_t epoch)> role;
-    // On the primary: another number of the record's replicas is there. A loss may be made good
-    // within milliseconds, so who only looks now and then would not see it.
+    // Called on the primary when the number of responsive replicas of the record changes. A loss
+    // may be repaired within milliseconds, so polling could miss it.
     std::function<void()> replicas_changed = nullptr;
   };
 
@@ -85,13 +91,14 @@
   virtual void SetWatcher(Watcher watcher) = 0;
   virtual void Submit(Plan plan, Done done) = 0;
   virtual const Contents& contents() const = 0;
-  virtual bool is_primary() const = 0;  // With a valid lease.
+  virtual bool is_primary() const = 0;  // And holds a valid lease.
   virtual std::uint64_t epoch() const = 0;
-  virtual std::optional<net::Address> primary() const = 0;  // Internal address, where known.
+  virtual std::optional<net::Address> primary() const = 0;  // Internal address, if known.
   virtual std::vector<CoreMember> members() const = 0;      // Replicas and witnesses.
-  // None where this is not the primary.
+  // None if this process is not the primary.
   virtual std::optional<ReplicationStatus> replication_status() const { return std::nullopt; }
-  // Hands the primary's place over (SIGTERM); done is told when another has it or it failed.
+  // Transfers the role of primary to another replica before the process ends (SIGTERM). `done` is
+  // called with true when this process may end, with false if the transfer failed.
   virtual void Transfer(std::function<void(bool)> done) = 0;
 };
 
--- a/src/tier/coordination/step.h
+++ b/src/tier/coordination/step.h
@@ -1,4 +1,5 @@
-// One step of a pure state machine: what it is given besides its event, and what it asks for.
+// The context of one step of a pure state machine: its inputs besides the event, and its requests
+// to the owner.
 #ifndef SHELFLINK_TIER_COORDINATION_STEP_H_
 #define SHELFLINK_TIER_COORDINATION_STEP_H_
 
@@ -9,14 +10,15 @@
 
 namespace shelflink::coordination {
 
-// Names a sync: whatever was applied in steps of this ticket or lower ones is durable once told.
+// Identifies a sync. Once the sync of a ticket has completed, everything that steps with this or a
+// lower ticket applied is durable.
 using Ticket = std::uint64_t;
 
 struct Step {
   net::Time now;
   storage::Storage& storage;
-  Ticket ticket = 0;        // Rises with every step.
-  bool wants_sync = false;  // Out: the owner syncs after the step and tells its ticket then.
+  Ticket ticket = 0;        // Increases with every step.
+  bool wants_sync = false;  // Output: the owner syncs after the step and then reports its ticket.
 };
 
 }  // namespace shelflink::coordination
--- a/src/tier/coordination/witness.cpp
+++ b/src/tier/coordination/witness.cpp
@@ -16,7 +16,7 @@
 
 Witness::Witness(Options options, const storage::Storage& storage, net::Time now)
     : options_(std::move(options)) {
-  Load(storage);
+  LoadState(storage);
   lease_until_ = now + options_.lease;
 }
 
@@ -24,7 +24,7 @@
   state_.founder = true;
   lease_until_ = {};
   state_.record.witnesses = std::move(seeds);
-  Store(step);
+  SaveState(step);
 }
 
 bool Witness::HasStored(const storage::Storage& storage) {
@@ -37,7 +37,7 @@
   state_.promised = {};
   state_.accepted = {};
   state_.value.reset();
-  Store(step);
+  SaveState(step);
   return true;
 }
 
@@ -47,16 +47,16 @@
 }
 
 net::Span Witness::BlockingLease(net::Time now, const Ballot& ballot) const {
-  if (ballot.disk == state_.record.primary) return {};  // Its own lease.
+  if (ballot.disk == state_.record.primary) return {};  // The lease is its own.
   return std::max(lease_until_ - now, net::Span::zero());
 }
 
 template <typename Request, typename Reply>
 bool Witness::MayAgree(net::Time now, const Request& request, Reply& reply) const {
   if (request.base.number != state_.record.number || !MayVote()) return false;
-  const net::Span left = BlockingLease(now, request.ballot);
-  if (left > net::Span::zero()) {
-    reply.lease_remaining_ms = CeilMilliseconds(left);
+  const net::Span remaining = BlockingLease(now, request.ballot);
+  if (remaining > net::Span::zero()) {
+    reply.lease_remaining_ms = CeilMilliseconds(remaining);
     return false;
   }
   if (request.ballot < state_.promised) {
@@ -73,7 +73,7 @@
   if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot > state_.promised) {
     state_.promised = request.ballot;
-    Store(step);
+    SaveState(step);
   }
   reply.promised = true;
   reply.accepted = state_.accepted;
@@ -90,7 +90,7 @@
     state_.promised = request.ballot;
     state_.accepted = request.ballot;
     state_.value = request.value;
-    Store(step);
+    SaveState(step);
   }
   reply.accepted = true;
   return reply;
@@ -99,14 +99,14 @@
 bool Witness::GrantLease(net::Time now, const std::string& primary, std::uint64_t number) {
   if (number == 0 || number != state_.record.number) return false;
   if (primary != state_.record.primary) return false;
-  // A vote for another may have been counted already. One that was only promised will not be given
-  // while this lease runs.
+  // An accepted vote for another primary may have been counted already. A vote that was only
+  // promised will not be given while this lease is valid.
   if (state_.value && state_.value->primary != primary) return false;
   lease_until_ = std::max(lease_until_, now + options_.lease);
   return true;
 }
 
-void Witness::Store(Step& step) {
+void Witness::SaveState(Step& step) {
   cbor::Writer out;
   out.Array(5);
   Put(out, state_.record);
@@ -124,7 +124,7 @@
   step.wants_sync = true;
 }
 
-void Witness::Load(const storage::Storage& storage) {
+void Witness::LoadState(const storage::Storage& storage) {
   const auto stored = storage.Get(kStateKey);
   if (!stored) return;
   cbor::Reader in(*stored);
--- a/src/tier/coordination/witness.h
+++ b/src/tier/coordination/witness.h
@@ -1,9 +1,9 @@
-// A witness: remembers epoch records and nothing else, and helps to decide the next one.
+// A witness: the Paxos acceptor for epoch records. It stores only the records and its votes.
 //
-// Pure. It changes its storage through the step and tells what to answer; the answer may leave only
-// after the sync that the step asks for. It must never vote on a record whose predecessor does not
-// name its disk, never take back a vote, and never help a rival of the primary whose lease it
-// granted while that lease runs.
+// Pure. It changes its storage through the step and returns the reply to send, which may leave only
+// after the sync that the step requests. It must never vote on a record whose predecessor does not
+// name its disk, never take back a vote, and never support the ballot of another proposer while a
+// lease that it granted to the primary is valid.
 #ifndef SHELFLINK_TIER_COORDINATION_WITNESS_H_
 #define SHELFLINK_TIER_COORDINATION_WITNESS_H_
 
@@ -24,48 +24,50 @@
     net::Span lease{};
   };
 
-  // Reads what the disk remembers. A started witness cannot know which leases it granted before: it
-  // acts as if it had granted one at `now` to the primary of the newest record it knows.
+  // Reads the stored state. After a restart the witness cannot know which leases it granted before,
+  // so it acts as if it had granted one at `now` to the primary of the newest record it knows.
   Witness(Options options, const storage::Storage& storage, net::Time now);
 
-  // Whether a witness has stored anything there: it never removes its state.
+  // Whether a witness has ever stored its state in `storage`. The state is never removed.
   static bool HasStored(const storage::Storage& storage);
 
-  // First start of the whole system: record 0 with the seeds as witnesses.
+  // First start of the whole system: stores record 0 with the seeds as witnesses.
   void Bootstrap(Step& step, std::vector<CoreMember> seeds);
 
-  const Record& record() const { return state_.record; }  // The newest decided one known.
+  const Record& record() const { return state_.record; }  // The newest decided record known.
   bool is_founder() const { return state_.founder; }
-  // Takes a decided record; false if it is not newer.
+  // Stores a decided record. Returns false if it is not newer than the known one.
   bool Learn(Step& step, const Record& decided);
 
-  // Answers are for the proposer. `base` of the request is decided; the owner has learnt it.
+  // Return the reply to the proposer. The owner has already called Learn with the request's `base`.
   PrepareReply OnPrepare(Step& step, const Prepare& request);
   AcceptReply OnAccept(Step& step, const Accept& request);
 
-  // A lease for the primary of the newest record, from now on.
+  // Grants the primary of the newest record a lease that starts at `now`. Returns false if `number`
+  // is not the newest record, `primary` is not its primary, or another primary has been voted for.
   bool GrantLease(net::Time now, const std::string& primary, std::uint64_t number);
   net::Time lease_until() const { return lease_until_; }
 
+  // Writes the state for tests, which use it to recognize equal states.
   void Fingerprint(cbor::Writer& out, net::Time now) const;
 
  private:
   struct State {
     Record record;
-    Ballot promised;  // For record.number + 1, as is what follows.
+    Ballot promised;  // This and the fields below are for record.number + 1.
     Ballot accepted;
     std::optional<Record> value;
     bool founder = false;
   };
 
-  void Store(Step& step);
-  void Load(const storage::Storage& storage);
+  void SaveState(Step& step);
+  void LoadState(const storage::Storage& storage);
   bool MayVote() const;
-  // Whether this witness may promise or accept: it knows that record, no lease forbids it and no
-  // higher ballot has its promise. Where not, the reply tells which of the last two it was.
+  // Whether this witness may promise or accept: `base` is its newest record, no lease prevents it
+  // and it has promised no higher ballot. If a lease or a ballot prevents it, the reply says which.
   template <typename Request, typename Reply>
   bool MayAgree(net::Time now, const Request& request, Reply& reply) const;
-  // Left of a lease that forbids to help this proposer.
+  // Remaining time of a granted lease that prevents voting for this proposer.
   net::Span BlockingLease(net::Time now, const Ballot& ballot) const;
 
   Options options_;
--- a/tests/tier/coordination/disk_health_test.cpp
+++ b/tests/tier/coordination/disk_health_test.cpp
@@ -18,9 +18,9 @@
     BOOST_REQUIRE(health.next_attempt().has_value());
     pauses.push_back((*health.next_attempt() - now) / milliseconds(1));
     now = *health.next_attempt();
-    health.AttemptBegins();
+    health.OnAttemptStarted();
     BOOST_TEST(!health.next_attempt().has_value());
-    health.AttemptFailed(now);
+    health.OnAttemptFailed(now);
   }
   return pauses;
 }
@@ -28,7 +28,7 @@
 BOOST_AUTO_TEST_CASE(attempts_lie_at_twice_the_distance_each_time_up_to_a_second) {
   DiskHealth health;
   const net::Time now{seconds(100)};
-  health.Refuses(now);
+  health.OnFailure(now);
   const std::vector<long> expected{100, 200, 400, 800, 1000, 1000};
   BOOST_TEST(PausesInMs(health, now, 6) == expected, boost::test_tools::per_element());
 }
@@ -36,11 +36,11 @@
 BOOST_AUTO_TEST_CASE(a_failure_soon_after_a_recovery_goes_on_where_the_last_one_stood) {
   DiskHealth health;
   net::Time now{seconds(100)};
-  health.Refuses(now);
+  health.OnFailure(now);
   PausesInMs(health, now, 2);
-  health.TakesWrites(now);
+  health.OnRecovered(now);
   now += milliseconds(9999);
-  health.Refuses(now);
+  health.OnFailure(now);
   const std::vector<long> expected{800, 1000};
   BOOST_TEST(PausesInMs(health, now, 2) == expected, boost::test_tools::per_element());
 }
@@ -48,11 +48,11 @@
 BOOST_AUTO_TEST_CASE(a_disk_that_took_writes_for_ten_seconds_begins_anew) {
   DiskHealth health;
   net::Time now{seconds(100)};
-  health.Refuses(now);
+  health.OnFailure(now);
   PausesInMs(health, now, 4);
-  health.TakesWrites(now);
+  health.OnRecovered(now);
   now += seconds(10);
-  health.Refuses(now);
+  health.OnFailure(now);
   const std::vector<long> expected{100, 200};
   BOOST_TEST(PausesInMs(health, now, 2) == expected, boost::test_tools::per_element());
 }
@@ -64,11 +64,11 @@
   const net::Time until = now + std::chrono::seconds(10);
   int recoveries = 0;
   while (now < until) {
-    health.Refuses(now);
+    health.OnFailure(now);
     BOOST_REQUIRE(health.next_attempt().has_value());
     now = *health.next_attempt();
-    health.AttemptBegins();
-    health.TakesWrites(now);
+    health.OnAttemptStarted();
+    health.OnRecovered(now);
     ++recoveries;
     now += std::chrono::milliseconds(10);
   }
--- a/tests/tier/coordination/full_disk_mutants.cmake
+++ b/tests/tier/coordination/full_disk_mutants.cmake
@@ -9,22 +9,22 @@
   [=[  if (storage_->Recover().has_error()) {]=] [=[  if (storage_->failed()) {]=])
 full_disk_mutant(*
   what_was_in_memory_survives_a_failure coordination/group.cpp
-  [=[  ++life_;
+  [=[  ++generation_;
   member_ = std::make_unique]=] [=[  if (member_) return;
-  ++life_;
+  ++generation_;
   member_ = std::make_unique]=])
 full_disk_mutant(a_member_notices_in_the_step_that_writes_that_its_disk_refuses
   what_a_refusing_disk_was_to_store_is_told coordination/group.cpp
   [=[  if (step.storage.failed()) {]=] [=[  if (step.storage.failed() && false) {]=])
 full_disk_mutant(who_comes_back_is_another_incarnation_and_counts_its_failures
   the_incarnation_outlasts_a_recovery coordination/group.cpp
-  [=[  if (life_ > 1) member.incarnation = random_();]=] "")
+  [=[  if (generation_ > 1) member.incarnation = random_();]=] "")
 full_disk_mutant(the_owner_is_told_no_older_map_than_before
   the_owner_is_told_an_older_map_after_a_recovery coordination/group.cpp
-  [=[  member.told = told_sequence_;]=] "")
+  [=[  member.told = delivered_sequence_;]=] "")
 full_disk_mutant(a_system_whose_disks_are_all_full_at_its_first_start_is_founded_later
   a_full_disk_at_the_first_start_founds_nothing coordination/group.cpp
-  [=[  member.found = has_disk && may_found_;]=] [=[  member.found = has_disk && may_found_ && life_ == 1;]=])
+  [=[  member.found = has_disk && may_bootstrap_;]=] [=[  member.found = has_disk && may_bootstrap_ && generation_ == 1;]=])
 full_disk_mutant(a_process_whose_disk_refuses_stays_while_a_record_names_the_disk
   a_process_whose_disk_refuses_may_end_at_once coordination/group.cpp
   [=[released = !MayHoldReplica()]=] [=[released = true]=])
@@ -71,7 +71,7 @@
   LIBRARIES shelflink_tier_replication tier_coordination_world)
 # When it is tried again.
 tier_mutant(a_failure_soon_after_a_recovery_begins_the_pauses_anew coordination/disk_health.cpp
-  [=[  if (!again) pauses_.Reset();]=] [=[  pauses_.Reset();]=]
+  [=[  if (!soon_after_recovery) back_off_.Reset();]=] [=[  back_off_.Reset();]=]
   TEST coordination/disk_health_test
   RUN a_failure_soon_after_a_recovery_goes_on_where_the_last_one_stood
   LIBRARIES shelflink_tier_coordination)
--- a/tests/tier/coordination/mutants.cmake
+++ b/tests/tier/coordination/mutants.cmake
@@ -69,19 +69,19 @@
   [=[  if (!has_disk() || acting_) return false;
   if (record().number > 0) return true;]=])
 coordination_mutant(too_few_replicas_suffice member_selection.cpp
-  [=[  AddUpTo(chosen, situation.silent, situation.min_count);]=] "")
+  [=[  AddUpTo(chosen, candidates.silent, candidates.min_count);]=] "")
 coordination_mutant(a_witness_that_answers_is_taken_for_lost record.cpp
   [=[  if (FindDisk(base.witnesses, member.disk) != nullptr) return nullptr;]=] "")
 second_loss_mutant(as_many_disks_as_tolerated_are_lost_at_one_instant
   witnesses_are_always_odd member_selection.cpp
-  [=[  return odd || known <= 2 * failures ? known : known - 1;]=]
-  [=[  return odd ? known : known - 1;]=])
+  [=[  return odd || disks <= 2 * failures ? disks : disks - 1;]=]
+  [=[  return odd ? disks : disks - 1;]=])
 second_loss_mutant(as_many_disks_as_tolerated_are_lost_at_one_instant
   lost_witnesses_are_waited_for record.cpp
-  [=[  return gone > 0 && agreed + gone >= base.witnesses.size();]=] [=[  return false;]=])
+  [=[  return replaced > 0 && agreed + replaced >= base.witnesses.size();]=] [=[  return false;]=])
 second_loss_mutant(lost_witnesses_that_may_have_decided_alone_stop_the_rest
   lost_witnesses_cannot_have_decided record.cpp
-  [=[  if (gone >= Majority(base)) return false;  // They alone may have decided already.]=] "")
+  [=[  if (replaced >= Majority(base)) return false;  // They may have decided a record alone.]=] "")
 second_loss_mutant(nothing_leaves_before_enough_others_have_everything
   a_leaver_waits_for_nobody member_change.cpp
   [=[  if (FindDisk(record().replicas, options_.self.disk) == nullptr) {
@@ -97,7 +97,7 @@
 
 # Large entries: leases and records go between their parts.
 tier_mutant(leases_wait_behind_entries coordination/group.cpp
-  [=[{.urgent = !IsOfReplication(message)}]=] [=[{.urgent = false}]=]
+  [=[{.urgent = !IsReplicationMessage(message)}]=] [=[{.urgent = false}]=]
   TEST coordination/group_test RUN a_long_entry_on_its_way_costs_the_primary_no_lease
   LIBRARIES shelflink_tier_coordination shelflink_virtual)
 tier_mutant(what_is_on_its_way_is_sent_again coordination/replica_primary.cpp
