--- a/src/tier/coordination/group.cpp
+++ b/src/tier/coordination/group.cpp
@@ -27,6 +27,7 @@
 constexpr std::uint64_t kBytesPerMegabyte = 1U << 20;
 // A transfer waits this long for the write in flight.
 constexpr Milliseconds kTransferGrace{150};
+// A member that has heard of no primary for this many lease durations logs a warning.
 constexpr int kStuckAfterLeases = 8;
 // Key that is stored with a disk identity drawn by a process that may bootstrap the system.
 constexpr char kMayBootstrapKey[] = "may-found";
--- a/src/tier/coordination/group.h
+++ b/src/tier/coordination/group.h
@@ -42,8 +42,8 @@
  public:
   struct Options {
     Member::Options member;  // The group fills in `self` and `incarnation`.
-    Milliseconds ack_timeout{
-        3000};  // A write that is not acknowledged within this time fails with kUnknown.
+    // A write that is not acknowledged within this time fails with kUnknown.
+    Milliseconds ack_timeout{3000};
   };
   // The options for these settings. `found` is true only if `bootstrap` is set.
   static Options OptionsOf(const ProcessSettings& settings);
@@ -139,7 +139,7 @@
   DiskHealth disk_health_;
   std::string identity_;          // Identity of the disk.
   bool may_bootstrap_ = false;    // No state of a member of this process is durable yet.
-  std::uint64_t generation_ = 0;  // Of the present member; what belonged to earlier ones is void.
+  std::uint64_t generation_ = 0;  // Of the current member; events of earlier members are ignored.
   std::uint64_t delivered_sequence_ = 0;  // The owner has received the map up to here.
   std::unique_ptr<Member> member_;
   net::TimerPtr timer_;
--- a/tests/tier/coordination/catch_up_mutants.cmake
+++ b/tests/tier/coordination/catch_up_mutants.cmake
@@ -1,5 +1,5 @@
-# One test a mutant: the replica with one text replaced, under one case of a test program, which must
-# then fail. A text that does not stand in its file exactly once is an error.
+# One test per mutant: the replica with one text replaced, run with one case of a test program, which
+# must then fail. The text must occur exactly once in its file.
 foreach(cases catch_up replica)
   add_library(tier_${cases}_cases OBJECT ${cases}_test.cpp)
   target_compile_definitions(tier_${cases}_cases PRIVATE BOOST_TEST_DYN_LINK)
@@ -21,36 +21,36 @@
   set_tests_properties(tier.mutant_${name} PROPERTIES WILL_FAIL TRUE)
 endfunction()
 
-replica_mutant(copies_without_a_sync replica_learner.cpp catch_up old_state_makes_room_for_what_replaces_it
+replica_mutant(copied_bytes_are_never_synced replica_learner.cpp catch_up space_of_old_state_is_reused_for_its_replacement
   [=[session_->unsynced_bytes >= options_.copied_bytes_a_sync]=] [=[false]=])
 replica_mutant(commits_never_wait_for_a_learner replica_primary.cpp catch_up
-  it_ends_while_changes_go_on_without_a_pause
+  catch_up_ends_under_continuous_writes
   [=[    WaitForLearner(step, follower);
 ]=] "")
-replica_mutant(commits_wait_for_a_learner_for_ever replica_primary.cpp replica
+replica_mutant(commits_wait_for_a_learner_forever replica_primary.cpp replica
   commits_wait_for_a_learner_for_a_time_only
   [=[= step.now + options_.join_wait;]=] [=[= net::Time::max();]=])
-replica_mutant(copies_in_large_answers replica_primary.cpp catch_up it_ends_on_a_narrow_link
+replica_mutant(copies_in_large_answers replica_primary.cpp catch_up catch_up_ends_on_a_slow_link
   [=[options_.most_copied_bytes)]=] [=[options_.most_message_bytes)]=])
-replica_mutant(patience_never_grows replica_learner.cpp catch_up it_ends_on_a_link_slower_than_its_patience
+replica_mutant(the_catch_up_timeout_never_grows replica_learner.cpp catch_up catch_up_ends_on_a_link_slower_than_its_timeouts
   [=[    BeMorePatient();
 ]=] "")
-replica_mutant(an_earlier_process_counts replica_primary.cpp replica
+replica_mutant(replies_of_an_earlier_process_count replica_primary.cpp replica
   an_earlier_process_of_a_learner_vouches_for_nothing
   [=[    if (message.session == follower.session) {]=] [=[    if (true) {]=])
-replica_mutant(half_of_a_malformed_message_is_taken replica.cpp replica
+replica_mutant(a_malformed_message_is_applied_in_part replica.cpp replica
   a_message_whose_entries_do_not_follow_each_other_leaves_nothing_behind
   [=[  if (!FollowEachOther(message)) return;  // Malformed.
 ]=] "")
-replica_mutant(lost_entries_are_not_noticed replica.cpp replica
+replica_mutant(lost_entries_are_not_detected replica.cpp replica
   a_learner_that_lost_entries_has_not_caught_up
   [=[    if (session_) session_->lost_entries = true;
 ]=] "")
-replica_mutant(resent_without_a_growing_pause replica_primary.cpp catch_up
-  it_ends_on_a_link_slower_than_its_patience
+replica_mutant(resends_do_not_back_off replica_primary.cpp catch_up
+  catch_up_ends_on_a_link_slower_than_its_timeouts
   [=[      ++follower.resends;
 ]=] "")
-replica_mutant(whole_before_the_newest_entry replica_learner.cpp catch_up
-  what_is_told_after_it_is_the_map_of_one_moment
+replica_mutant(complete_before_the_newest_entry replica_learner.cpp catch_up
+  the_map_reported_after_catch_up_is_consistent
   [=[  if (applied_.sequence < session_->newest.sequence) return;
 ]=] "")
--- a/tests/tier/coordination/catch_up_test.cpp
+++ b/tests/tier/coordination/catch_up_test.cpp
@@ -1,5 +1,5 @@
-// A member or a copy that was away while hundreds of changes were made: what its way back costs on
-// narrow links and slow disks, that it ends, and that old state never counts.
+// Catch-up of a replica that missed hundreds of changes: its cost on slow links and slow disks,
+// that it always ends, and that outdated state is never used.
 //
 //   tier_catch_up_test --run_test=table   prints the table of docs/measured/catch-up.md
 #define BOOST_TEST_MODULE coordination_catch_up
@@ -19,8 +19,8 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kDocumentBytes = 100'000;
-constexpr std::size_t kRemembered = 64;             // Of the changes, each by a short record.
-constexpr std::uint64_t kCoreMapBytes = 32U << 20;  // Of a core disk of 64 MB.
+constexpr std::size_t kKeptRecords = 64;  // Changes that are kept, as one short record each.
+constexpr std::uint64_t kCoreMapBytes = 32U << 20;  // The share of the core in a disk of 64 MB.
 
 std::string Bytes(shelflab::Random& random, std::size_t count) {
   std::string bytes(count, '\0');
@@ -28,21 +28,20 @@
   return bytes;
 }
 
-// One document that is changed again and again, and a record of each of the last changes: the shape
-// of the core's map.
+// Changes of one document and of records of the most recent changes, as in the map of the core.
 class Changes {
  public:
   Changes(std::uint64_t seed, std::size_t bytes) : random_(seed), bytes_(bytes) {}
   std::vector<Write> Next() {
     ++count_;
     std::vector<Write> writes{{"document", Document()}, {KeyOf(count_), "taken"}};
-    if (count_ > kRemembered) writes.push_back({KeyOf(count_ - kRemembered), std::nullopt});
+    if (count_ > kKeptRecords) writes.push_back({KeyOf(count_ - kKeptRecords), std::nullopt});
     return writes;
   }
   std::size_t count() const { return count_; }
 
  private:
-  // The start differs; drawing all of it for each change would take the test's time.
+  // Only the beginning and the length vary. Drawing all of the text for each change would be slow.
   std::string Document() {
     if (text_.empty()) text_ = Bytes(random_, bytes_ + bytes_ / 4);
     const std::string head = std::to_string(count_) + " ";
@@ -59,26 +58,26 @@
   std::string text_;
 };
 
-// One change after another, `window` at a time under way, until `count` more were made.
-void Make(ReplicaSite& site, Changes& changes, std::size_t count, std::size_t window = 1) {
+// Makes `count` changes with at most `window` in flight.
+void RunChanges(ReplicaSite& site, Changes& changes, std::size_t count, std::size_t window = 1) {
   const std::size_t end = changes.count() + count;
-  const bool made = site.RunUntil(
+  const bool completed = site.RunUntil(
       [&] { return changes.count() >= end && site.open_changes() == 0; }, seconds(100'000),
       [&] {
         while (changes.count() < end && site.open_changes() < window) {
           if (!site.Change(changes.Next())) return;
         }
       });
-  BOOST_REQUIRE(made);
+  BOOST_REQUIRE(completed);
 }
 
-struct Folder {
-  Folder() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     std::string pattern = (std::filesystem::temp_directory_path() / "catchupXXXXXX").string();
     BOOST_REQUIRE(mkdtemp(pattern.data()) != nullptr);
     path = pattern;
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
   ReplicaSite::OpenStorage Open(std::uint64_t bytes_limit) const {
     return [this, bytes_limit](net::Loop& loop, const std::string& disk) {
       storage::LmdbStorage::Options options;
@@ -92,26 +91,26 @@
   std::filesystem::path path;
 };
 
-enum class Away : std::uint8_t { kAll, kHalf, kLast };
-constexpr std::size_t kLastChanges = 20;
+enum class Away : std::uint8_t { kAll, kHalf, kRecent };
+constexpr std::size_t kRecentChanges = 20;
 
 struct CatchUpCost {
-  net::Span took{};
+  net::Span duration{};
   Traffic traffic;
   std::uint64_t state_bytes = 0;
   std::uint64_t disk_bytes = 0;
 };
 
-// `c` is away for that part of the changes and then catches up.
-CatchUpCost CostOf(ReplicaSite& site, std::size_t count, std::size_t bytes, Away away) {
+// Measures the catch-up of replica `c`, which is stopped during part of the changes.
+CatchUpCost MeasureCatchUp(ReplicaSite& site, std::size_t count, std::size_t bytes, Away away) {
   Changes changes(count, bytes);
   const std::size_t missed = away == Away::kAll    ? count
                              : away == Away::kHalf ? count / 2
-                                                   : kLastChanges;
-  Make(site, changes, count - missed);
+                                                   : kRecentChanges;
+  RunChanges(site, changes, count - missed);
   site.Stop("c");
   site.Assign("a", {"a", "b"});
-  Make(site, changes, missed);
+  RunChanges(site, changes, missed);
   site.traffic.clear();
   site.Start("c");
   site.Invite("c");
@@ -121,36 +120,37 @@
                    site.At("c").storage->usage().bytes_used};
   site.Run(seconds(1));
   BOOST_TEST(site.SameMap("a", "c"));
-  BOOST_TEST(site.At("c").told == site.At("a").told, "the owner of c knows another map");
+  BOOST_TEST(site.At("c").told == site.At("a").told, "the owner of c has a different map");
   return cost;
 }
 
-// ---- What it costs.
+// ---- Cost.
 
-BOOST_AUTO_TEST_CASE(its_cost_follows_the_state_and_not_the_number_of_changes) {
+BOOST_AUTO_TEST_CASE(cost_depends_on_the_state_and_not_on_the_number_of_changes) {
   for (const std::size_t bytes : {std::size_t{200}, kDocumentBytes}) {
-    for (const Away away : {Away::kAll, Away::kHalf, Away::kLast}) {
+    for (const Away away : {Away::kAll, Away::kHalf, Away::kRecent}) {
       net::Span shortest = net::Span::max();
       net::Span longest{};
       for (const std::size_t count : {100U, 400U, 1000U}) {
-        if (bytes == kDocumentBytes && count == 1000U) continue;  // The disk's test has these.
+        if (bytes == kDocumentBytes && count == 1000U)
+          continue;  // Covered by disk_use_stays_bounded.
         ReplicaSite site({"a", "b", "c"});
-        const CatchUpCost cost = CostOf(site, count, bytes, away);
+        const CatchUpCost cost = MeasureCatchUp(site, count, bytes, away);
         BOOST_TEST(cost.traffic.copied <= cost.state_bytes + (64U << 10));
         BOOST_TEST(cost.traffic.appended <= kDocumentBytes + (16U << 10));
-        shortest = std::min(shortest, cost.took);
-        longest = std::max(longest, cost.took);
+        shortest = std::min(shortest, cost.duration);
+        longest = std::max(longest, cost.duration);
       }
-      BOOST_TEST((longest <= shortest + milliseconds(400)));  // One invitation more or less.
+      BOOST_TEST((longest <= shortest + milliseconds(400)));  // May differ by one invitation.
     }
   }
 }
 
-// A partition's day: jobs are accepted, each with its body, finished with a result in the body's
-// place, and forgotten; some hundred are open at any time.
-class JobsOfADay {
+// Changes as in a partition of the batch store: each job is accepted with its body, then the body
+// is replaced by a result, and later the job is removed. Some hundred jobs are stored at any time.
+class JobChanges {
  public:
-  explicit JobsOfADay(std::uint64_t seed) : random_(seed) {}
+  explicit JobChanges(std::uint64_t seed) : random_(seed) {}
   std::vector<Write> Next() {
     const std::size_t at = count_++ / 3;
     switch (count_ % 3) {
@@ -179,27 +179,27 @@
   std::size_t count_ = 0;
 };
 
-void MakeJobs(ReplicaSite& site, JobsOfADay& jobs, std::size_t changes) {
+void RunJobChanges(ReplicaSite& site, JobChanges& jobs, std::size_t changes) {
   constexpr std::size_t kWindow = 32;
   const std::size_t end = jobs.count() + changes;
-  const bool made = site.RunUntil([&] { return jobs.count() >= end && site.open_changes() == 0; },
-                                  seconds(100'000),
-                                  [&] {
-                                    while (jobs.count() < end && site.open_changes() < kWindow) {
-                                      if (!site.Change(jobs.Next())) return;
-                                    }
-                                  });
-  BOOST_REQUIRE(made);
+  const bool completed = site.RunUntil(
+      [&] { return jobs.count() >= end && site.open_changes() == 0; }, seconds(100'000),
+      [&] {
+        while (jobs.count() < end && site.open_changes() < kWindow) {
+          if (!site.Change(jobs.Next())) return;
+        }
+      });
+  BOOST_REQUIRE(completed);
 }
 
-BOOST_AUTO_TEST_CASE(a_copy_that_missed_a_day_of_jobs_costs_what_is_kept_of_them) {
+BOOST_AUTO_TEST_CASE(a_replica_that_missed_a_day_of_jobs_copies_only_what_is_kept) {
   for (const std::size_t missed : {600U, 6000U, 30'000U}) {
     ReplicaSite site({"a", "b", "c"});
-    JobsOfADay jobs(missed);
-    MakeJobs(site, jobs, 3000);
+    JobChanges jobs(missed);
+    RunJobChanges(site, jobs, 3000);
     site.Stop("c", missed % 5);
     site.Assign("a", {"a", "b"});
-    MakeJobs(site, jobs, missed);
+    RunJobChanges(site, jobs, missed);
     site.traffic.clear();
     site.Start("c");
     site.Invite("c");
@@ -227,25 +227,25 @@
          "|\n| --- | --- | --- | --- | --- | --- | --- | --- |\n";
   for (const std::size_t bytes : {std::size_t{200}, kDocumentBytes}) {
     for (const std::size_t count : {200U, 2000U}) {
-      for (const Away away : {Away::kAll, Away::kHalf, Away::kLast}) {
+      for (const Away away : {Away::kAll, Away::kHalf, Away::kRecent}) {
         ReplicaSite site({"a", "b", "c"});
-        const CatchUpCost cost = CostOf(site, count, bytes, away);
+        const CatchUpCost cost = MeasureCatchUp(site, count, bytes, away);
         const char* const names[] = {"all", "half", "last 20"};
         std::cout << "| " << bytes << " B | " << count << " | "
                   << names[static_cast<std::size_t>(away)] << " | " << cost.state_bytes << " B | "
                   << cost.traffic.copied << " B | " << cost.traffic.appended << " B | "
-                  << cost.traffic.most_on_the_way << " B | " << cost.took / milliseconds(1)
+                  << cost.traffic.most_on_the_way << " B | " << cost.duration / milliseconds(1)
                   << " ms |" << std::endl;
       }
     }
   }
 }
 
-// 2,000 changes of 100 KB on a core disk of 64 MB, half of which the core may use.
-BOOST_AUTO_TEST_CASE(the_disk_stays_bounded) {
-  const Folder folder;
+// 2,000 changes of 100 KB each on a disk of 64 MB, half of which the core may use.
+BOOST_AUTO_TEST_CASE(disk_use_stays_bounded) {
+  const TemporaryFolder folder;
   ReplicaSite site({"a", "b", "c"}, {}, folder.Open(kCoreMapBytes));
-  const CatchUpCost cost = CostOf(site, 2000, kDocumentBytes, Away::kHalf);
+  const CatchUpCost cost = MeasureCatchUp(site, 2000, kDocumentBytes, Away::kHalf);
   BOOST_TEST(cost.state_bytes < 2 * kDocumentBytes);
   for (const char* const name : {"a", "b", "c"}) {
     BOOST_TEST(site.At(name).storage->usage().bytes_used <= 16 * kDocumentBytes);
@@ -255,9 +255,9 @@
   }
 }
 
-// A disk that is half full of old state takes as much of other state in its place.
-BOOST_AUTO_TEST_CASE(old_state_makes_room_for_what_replaces_it) {
-  const Folder folder;
+// A disk that is half full of old state has space for new state of the same size that replaces it.
+BOOST_AUTO_TEST_CASE(space_of_old_state_is_reused_for_its_replacement) {
+  const TemporaryFolder folder;
   constexpr std::size_t kDocuments = kCoreMapBytes * 6 / 10 / kDocumentBytes;
   ReplicaSite site({"a", "b", "c"}, {}, folder.Open(kCoreMapBytes));
   const auto fill = [&](const std::string& text) {
@@ -277,52 +277,53 @@
   BOOST_TEST(site.SameMap("a", "c"));
 }
 
-// ---- It ends.
+// ---- Termination.
 
-// A disk or a link that is slower than those of the replicas never has the newest change by itself.
-BOOST_AUTO_TEST_CASE(it_ends_while_changes_go_on_without_a_pause) {
+// A learner whose disk or link is slower than those of the replicas would never have the newest
+// change unless commits wait for it.
+BOOST_AUTO_TEST_CASE(catch_up_ends_under_continuous_writes) {
   for (const std::size_t window : {1U, 8U}) {
-    for (const int slower_ms : {0, 10, 40}) {
+    for (const int delay_ms : {0, 10, 40}) {
       ReplicaSite site({"a", "b", "c"});
       site.checks_maps = true;
       Changes changes(window, 2000);
-      Make(site, changes, 50, window);
+      RunChanges(site, changes, 50, window);
       site.Stop("c");
       site.Assign("a", {"a", "b"});
-      Make(site, changes, 100, window);
+      RunChanges(site, changes, 100, window);
       site.acknowledged = {};
       site.Start("c");
-      site.At("c").slower = milliseconds(slower_ms);
+      site.At("c").slower = milliseconds(delay_ms);
       site.Invite("c");
       const net::Time before = site.now();
       BOOST_TEST(site.RunUntil([&] { return site.Names("c"); }, seconds(20),
                                [&] {
                                  while (site.open_changes() < window) site.Change(changes.Next());
                                }));
-      BOOST_TEST_MESSAGE("window " << window << ", slower by " << slower_ms << " ms: named after "
+      BOOST_TEST_MESSAGE("window " << window << ", slower by " << delay_ms << " ms: named after "
                                    << (site.now() - before) / milliseconds(1) << " ms, "
                                    << site.acknowledged.count << " changes meanwhile, the longest "
                                    << site.acknowledged.longest / milliseconds(1) << " ms");
       BOOST_TEST((site.now() - before <= seconds(5)));
       BOOST_TEST((site.acknowledged.longest <= milliseconds(500)));
-      Make(site, changes, 10, window);
+      RunChanges(site, changes, 10, window);
       site.Run(seconds(1));
       BOOST_TEST(site.SameMap("a", "c"));
     }
   }
 }
 
-// Ranges are read at different moments; what the owner reads in the end is the map of one of them.
-BOOST_AUTO_TEST_CASE(what_is_told_after_it_is_the_map_of_one_moment) {
+// Ranges are read at different positions. The owner must receive the map of a single position.
+BOOST_AUTO_TEST_CASE(the_map_reported_after_catch_up_is_consistent) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     shelflab::Random random(seed);
     ReplicaSite site({"a", "b", "c"});
-    site.checks_maps = true;  // Throws at another map.
+    site.checks_maps = true;  // Throws if a reported map is not that of its position.
     Changes changes(seed, 2000);
-    Make(site, changes, 50);
+    RunChanges(site, changes, 50);
     site.Stop("c");
     site.Assign("a", {"a", "b"});
-    Make(site, changes, 50);
+    RunChanges(site, changes, 50);
     site.Start("c");
     site.At("c").slower = milliseconds(random.Below(30));
     site.Invite("c");
@@ -336,16 +337,16 @@
   }
 }
 
-// Fills an empty disk of `c` over such links.
-Traffic CopyAll(SiteSpeeds speeds, std::size_t keys, std::size_t value_bytes) {
+// Copies the map to an empty disk of `c` over links of the given speeds.
+Traffic CopyToEmptyDisk(SiteSpeeds speeds, std::size_t keys, std::size_t value_bytes) {
   ReplicaSite site({"a", "b", "c"}, speeds);
   shelflab::Random random(1);
-  constexpr std::size_t kTogether = 20;
+  constexpr std::size_t kWritesPerChange = 20;
   site.Stop("c");
   site.Assign("a", {"a", "b"});
-  for (std::size_t i = 0; i < keys; i += kTogether) {
+  for (std::size_t i = 0; i < keys; i += kWritesPerChange) {
     std::vector<Write> writes;
-    for (std::size_t j = i; j < i + kTogether; ++j) {
+    for (std::size_t j = i; j < i + kWritesPerChange; ++j) {
       writes.push_back({"item/" + std::to_string(j), Bytes(random, value_bytes)});
     }
     BOOST_REQUIRE(site.Change(std::move(writes)));
@@ -366,21 +367,21 @@
   return traffic;
 }
 
-// Sixteen partitions that are copied at once to an empty disk leave each a sixteenth of the link.
-BOOST_AUTO_TEST_CASE(it_ends_on_a_narrow_link) {
+// If 16 partitions are copied to an empty disk at once, each has a sixteenth of the link.
+BOOST_AUTO_TEST_CASE(catch_up_ends_on_a_slow_link) {
   SiteSpeeds speeds;
   speeds.bytes_per_second = 30'000'000 / 8 / 16;
-  const Traffic traffic = CopyAll(speeds, 2000, 3000);
-  // What waits for the link holds up acknowledgements.
+  const Traffic traffic = CopyToEmptyDisk(speeds, 2000, 3000);
+  // Data queued for the link delays acknowledgements.
   BOOST_TEST(traffic.most_on_the_way <= speeds.bytes_per_second);
 }
 
-// A write takes longer on it than the pause before it is sent again, and an answer to a learner
-// longer than the learner's first patience.
-BOOST_AUTO_TEST_CASE(it_ends_on_a_link_slower_than_its_patience) {
+// On this link a write takes longer than the resend interval, and a reply to a learner takes longer
+// than the learner's initial timeout.
+BOOST_AUTO_TEST_CASE(catch_up_ends_on_a_link_slower_than_its_timeouts) {
   SiteSpeeds speeds;
   speeds.bytes_per_second = 30'000'000 / 8 / 80;
-  CopyAll(speeds, 800, 3000);
+  CopyToEmptyDisk(speeds, 800, 3000);
 }
 
 }  // namespace
--- a/tests/tier/coordination/cluster.h
+++ b/tests/tier/coordination/cluster.h
@@ -1,4 +1,4 @@
-// Groups on the virtual network, with disks that can lose power, be wiped, be full or stall.
+// Groups on the virtual network, with disks that can lose power, be wiped, become full or stall.
 #ifndef SHELFLINK_TESTS_TIER_COORDINATION_CLUSTER_H_
 #define SHELFLINK_TESTS_TIER_COORDINATION_CLUSTER_H_
 
@@ -25,9 +25,9 @@
 using std::chrono::seconds;
 
 constexpr std::uint16_t kPort = 7361;
-constexpr net::Span kSyncTakes = milliseconds(4);
+constexpr net::Span kSyncTime = milliseconds(4);
 
-// One machine of the core: its disk outlives its processes.
+// A machine of the core. Its disk outlives its processes.
 class Machine {
  public:
   Machine(net::VirtualNet& net, std::uint32_t host, std::string zone, Group::Options options)
@@ -37,10 +37,10 @@
   Machine& operator=(const Machine&) = delete;
 
   void Start(bool bootstrap, bool with_disk = true) {
-    ++lives_;
+    ++starts_;
     process_ = std::make_unique<net::VirtualProcess>(net_, host_, "core", 256);
     transport::PeerIdentity self{"node-" + std::to_string(host_ & 0xffU), "core", zone_, address(),
-                                 (std::uint64_t{host_} << 20U) + lives_};
+                                 (std::uint64_t{host_} << 20U) + starts_};
     hub_ = std::make_unique<transport::Hub>(*process_, self, transport::Hub::Options{});
     std::unique_ptr<storage::Storage> storage;
     if (with_disk) {
@@ -50,7 +50,7 @@
     Group::Options options = options_;
     options.member.found = bootstrap;
     group_ = std::make_unique<Group>(*process_, *hub_, std::move(storage), options,
-                                     [this] { return ++identities_ * 1000003 + host_; });
+                                     [this] { return ++drawn_numbers_ * 1000003 + host_; });
     group_->SetWatcher({[this](const std::vector<Write>& writes) {
                           if (committed) committed(writes);
                         },
@@ -58,14 +58,14 @@
                           if (role) role(primary, epoch);
                         }});
   }
-  // The process ends at once; of what no sync covers `kept` batches remain.
+  // Kills the process. Of the batches that no sync covers, `kept` remain on the disk.
   void Stop(std::size_t kept = 0) {
     if (!process_) return;
     process_->Kill();
     syncs_.clear();
     group_.reset();
     hub_.reset();
-    graveyard_.push_back(std::move(process_));
+    killed_processes_.push_back(std::move(process_));
     disk.LosePower(kept);
     paused = false;
   }
@@ -82,14 +82,14 @@
   void SetSeeds(std::vector<net::Address> seeds) { options_.member.seeds = std::move(seeds); }
 
   bool up() const { return process_ != nullptr; }
-  std::uint64_t lives() const { return lives_; }
+  std::uint64_t start_count() const { return starts_; }
   Group& group() { return *group_; }
   net::VirtualProcess& process() { return *process_; }
   net::Address address() const { return net::Address::V4(host_, kPort); }
   std::uint32_t host() const { return host_; }
 
   storage::CrashDisk disk;
-  net::Span sync_takes = kSyncTakes;
+  net::Span sync_time = kSyncTime;
   bool paused = false;
   std::function<void(const std::vector<Write>&)> committed;
   std::function<void(bool, std::uint64_t)> role;
@@ -100,10 +100,10 @@
     Pending& pending = syncs_.emplace_back();
     pending.timer = process_->NewTimer([&pending, step = std::move(step)] {
       pending.done = true;
-      const auto run = step;  // Scheduling again may free this.
+      const auto run = step;  // Scheduling another step may free this function.
       run();
     });
-    pending.timer->ArmAt(process_->Now() + sync_takes);
+    pending.timer->ArmAt(process_->Now() + sync_time);
   }
 
   struct Pending {
@@ -115,13 +115,13 @@
   std::uint32_t host_;
   std::string zone_;
   Group::Options options_;
-  std::uint64_t lives_ = 0;
-  std::uint64_t identities_ = 0;
+  std::uint64_t starts_ = 0;
+  std::uint64_t drawn_numbers_ = 0;
   std::unique_ptr<net::VirtualProcess> process_;
   std::unique_ptr<transport::Hub> hub_;
   std::unique_ptr<Group> group_;
   std::list<Pending> syncs_;
-  std::vector<std::unique_ptr<net::VirtualProcess>> graveyard_;
+  std::vector<std::unique_ptr<net::VirtualProcess>> killed_processes_;
 };
 
 class Cluster {
@@ -151,10 +151,10 @@
     for (auto& machine : machines) machine->Start(bootstrap);
   }
   void Run(net::Span span) { net.RunUntil(net.Now() + span); }
-  // Runs until it holds; false if it does not within the span.
-  bool RunUntil(const std::function<bool()>& holds, net::Span most) {
-    const net::Time until = net.Now() + most;
-    while (!holds()) {
+  // Runs until `condition` is true. Returns false if that does not happen within `timeout`.
+  bool RunUntil(const std::function<bool()>& condition, net::Span timeout) {
+    const net::Time until = net.Now() + timeout;
+    while (!condition()) {
       if (net.Now() >= until) return false;
       net.RunUntil(net.Now() + milliseconds(5));
     }
@@ -166,38 +166,38 @@
     }
     return nullptr;
   }
-  // For where there must be one.
+  // Throws if there is no primary.
   Machine& ThePrimary() {
     Machine* const primary = Primary();
     if (primary == nullptr) throw std::runtime_error("there is no primary");
     return *primary;
   }
   Machine& At(std::size_t index) { return *machines[index]; }
-  Machine& Other(const Machine& not_this, std::size_t nth = 0) {
+  Machine& Other(const Machine& excluded, std::size_t nth = 0) {
     for (auto& machine : machines) {
-      if (machine.get() != &not_this && nth-- == 0) return *machine;
+      if (machine.get() != &excluded && nth-- == 0) return *machine;
     }
     return *machines.front();
   }
-  // Sends a write to whoever is primary, again and again, until it is acknowledged.
-  bool Put(const std::string& key, const std::string& value, net::Span most) {
-    const net::Time until = net.Now() + most;
+  // Submits a write to the current primary repeatedly until it is acknowledged.
+  bool Put(const std::string& key, const std::string& value, net::Span timeout) {
+    const net::Time until = net.Now() + timeout;
     while (net.Now() < until) {
       Machine* const primary = Primary();
       if (primary == nullptr) {
         Run(milliseconds(20));
         continue;
       }
-      // May be told after the wait for it has ended.
-      const auto taken = std::make_shared<std::optional<bool>>();
+      // Shared, since the callback may run after the wait has ended.
+      const auto result_seen = std::make_shared<std::optional<bool>>();
       primary->group().Submit(
           [key, value](const Contents&) -> Result<std::vector<Write>> {
             return std::vector<Write>{{key, value}};
           },
-          [taken](const Result<void>& result) { *taken = result.has_value(); });
-      const Machine* const asked = primary;
-      RunUntil([&] { return taken->has_value() || !asked->up(); }, until - net.Now());
-      if (taken->value_or(false)) return true;
+          [result_seen](const Result<void>& result) { *result_seen = result.has_value(); });
+      const Machine* const target = primary;
+      RunUntil([&] { return result_seen->has_value() || !target->up(); }, until - net.Now());
+      if (result_seen->value_or(false)) return true;
       Run(milliseconds(50));
     }
     return false;
--- a/tests/tier/coordination/disk_health_test.cpp
+++ b/tests/tier/coordination/disk_health_test.cpp
@@ -1,4 +1,4 @@
-// When a disk that refuses is tried again.
+// Schedule of recovery attempts for a disk that refuses writes.
 #define BOOST_TEST_MODULE tier_disk_health
 #include "tier/coordination/disk_health.h"
 
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// From each attempt that fails to the next one.
+// The pauses before each of the next `count` attempts, all of which fail.
 std::vector<long> PausesInMs(DiskHealth& health, net::Time now, int count) {
   std::vector<long> pauses;
   for (int i = 0; i < count; ++i) {
@@ -25,7 +25,7 @@
   return pauses;
 }
 
-BOOST_AUTO_TEST_CASE(attempts_lie_at_twice_the_distance_each_time_up_to_a_second) {
+BOOST_AUTO_TEST_CASE(the_back_off_doubles_up_to_one_second) {
   DiskHealth health;
   const net::Time now{seconds(100)};
   health.OnFailure(now);
@@ -33,7 +33,7 @@
   BOOST_TEST(PausesInMs(health, now, 6) == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_failure_soon_after_a_recovery_goes_on_where_the_last_one_stood) {
+BOOST_AUTO_TEST_CASE(a_failure_soon_after_a_recovery_continues_the_back_off) {
   DiskHealth health;
   net::Time now{seconds(100)};
   health.OnFailure(now);
@@ -45,7 +45,7 @@
   BOOST_TEST(PausesInMs(health, now, 2) == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_disk_that_took_writes_for_ten_seconds_begins_anew) {
+BOOST_AUTO_TEST_CASE(the_back_off_restarts_after_ten_seconds_of_accepted_writes) {
   DiskHealth health;
   net::Time now{seconds(100)};
   health.OnFailure(now);
@@ -57,8 +57,8 @@
   BOOST_TEST(PausesInMs(health, now, 2) == expected, boost::test_tools::per_element());
 }
 
-// It has room for the probes of a recovery and not for the next entry.
-BOOST_AUTO_TEST_CASE(a_disk_that_fails_again_after_each_recovery_is_tried_about_once_a_second) {
+// The disk has space for the probe writes of a recovery but not for the next entry.
+BOOST_AUTO_TEST_CASE(a_disk_that_fails_after_each_recovery_is_retried_about_once_a_second) {
   DiskHealth health;
   net::Time now{std::chrono::seconds(100)};
   const net::Time until = now + std::chrono::seconds(10);
--- a/tests/tier/coordination/explorer.cpp
+++ b/tests/tier/coordination/explorer.cpp
@@ -177,7 +177,8 @@
     world.MakeRoom(node);
   }
   const bool acknowledges = world.Acknowledges(0, kRecoversWithin);
-  if (const auto primary = world.Primary()) world.history.AtTheEnd(world.DocumentAt(*primary));
+  if (const auto primary = world.Primary())
+    world.history.CheckFinalState(world.DocumentAt(*primary));
   if (auto broken = Broken(path)) return "while it recovers: " + *broken;
   if (acknowledges) return std::nullopt;
   return "nobody acknowledges again\n" + path.trace + world.Describe();
--- a/tests/tier/coordination/failing_writes_test.cpp
+++ b/tests/tier/coordination/failing_writes_test.cpp
@@ -1,8 +1,9 @@
-// One disk fails at any of its writes while orders are acknowledged, members change, one catches up
-// and a primary is elected: nothing acknowledged is lost, and a primary is there again in time. And
-// each kind of operation fails at each moment of each step of a core, played by itself.
+// Write failures of a disk. First, one disk fails at each of its writes during a sequence of
+// writes, membership changes, a catch-up and an election: no acknowledged write may be lost and
+// there must be a primary again in time. Second, each kind of operation fails at each position in
+// each step of a core on its own.
 //
-//   tier_failing_writes_test [-- STRIDE]   one in so many of the matrix's runs, all by default
+//   tier_failing_writes_test [-- STRIDE]   runs every STRIDE-th case of the matrix; default: all
 #define BOOST_TEST_MODULE coordination_failing_writes
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -21,7 +22,7 @@
 
 constexpr net::Span kRecovery = seconds(12);
 constexpr std::size_t kDisks = 4;
-constexpr std::size_t kReplicas = 3;  // Where one failure is tolerated.
+constexpr std::size_t kReplicas = 3;  // With a tolerance of one failure.
 constexpr std::size_t kAll = 1000;
 
 BOOST_TEST_GLOBAL_FIXTURE(CheckedInvariants);
@@ -31,71 +32,74 @@
   std::uint64_t operation = 0;  // 0: none.
   std::uint64_t times = 1;
   storage::Failure failure = storage::Failure::kFull;
-  std::size_t kept = 0;  // Of the batches whose sync failed.
+  std::size_t kept = 0;  // Batches whose sync failed that remain on the disk.
 };
 
 std::string TextOf(const Fault& fault) {
   return "disk " + std::to_string(fault.disk) + ", operation " + std::to_string(fault.operation) +
-         ", " + (fault.times == kForEver ? "for ever" : std::to_string(fault.times) + " times") +
+         ", " + (fault.times == kForever ? "forever" : std::to_string(fault.times) + " times") +
          ", " + NameOf(fault.failure) + ", kept " + std::to_string(fault.kept);
 }
 
-// The same orders and the same ends of processes each time.
-class Script {
+// Runs the same sequence of writes and process stops each time.
+class FaultRun {
  public:
-  explicit Script(const Fault& fault) : cluster_(kDisks), fault_(fault) {
+  explicit FaultRun(const Fault& fault) : cluster_(kDisks), fault_(fault) {
     cluster_.StartAll();
     BOOST_REQUIRE(cluster_.Put("founded", "1", seconds(4)));
     cluster_.Run(milliseconds(1500));
     storage::CrashDisk& disk = cluster_.At(fault.disk).disk;
-    before_ = disk.operations();
+    initial_operations_ = disk.operations();
     disk.SetKeptOnFailure(fault.kept);
     if (fault.operation > 0) disk.FailFrom(fault.operation, fault.times, fault.failure);
   }
 
-  void Play() {
+  void Execute() {
     Put();
     Put();
-    Machine& away = OneBut(nullptr);
+    Machine& away = MachineOtherThan(nullptr);
     away.Stop();
-    cluster_.Run(milliseconds(700));  // The members change.
+    cluster_.Run(milliseconds(700));  // The record changes.
     Put();
-    away.Start(false);  // It catches up.
+    away.Start(false);  // The returned replica catches up.
     Put();
     cluster_.Run(milliseconds(500));
-    Machine& second = OneBut(&away);
-    second.Stop(kAll);  // An election, where it is the primary.
+    Machine& second = MachineOtherThan(&away);
+    second.Stop(kAll);  // Causes an election if it is the primary.
     Put();
     second.Start(false);
     cluster_.Run(seconds(1));
   }
 
   void Check() {
-    BOOST_REQUIRE_MESSAGE(Put(), "nothing is acknowledged again: " << TextOf(fault_));
+    BOOST_REQUIRE_MESSAGE(Put(), "no write is acknowledged after the fault: " << TextOf(fault_));
     const Contents& contents = cluster_.ThePrimary().group().contents();
     for (const std::string& key : acknowledged_) {
       BOOST_TEST(contents.count(key) == 1U, key << " is lost: " << TextOf(fault_));
     }
-    const bool for_ever = fault_.times == kForEver;
-    const bool back =
-        cluster_.RunUntil([&] { return IsBack(); }, for_ever ? net::Span{} : kRecovery);
-    const bool refuses = for_ever && cluster_.At(fault_.disk).group().failed();
-    BOOST_TEST((back || refuses), "the disk's member is not back: " << TextOf(fault_));
+    const bool permanent = fault_.times == kForever;
+    const bool recovered =
+        cluster_.RunUntil([&] { return HasRecovered(); }, permanent ? net::Span{} : kRecovery);
+    const bool refuses = permanent && cluster_.At(fault_.disk).group().failed();
+    BOOST_TEST((recovered || refuses),
+               "the member with the faulty disk has not recovered: " << TextOf(fault_));
+  }
+  std::uint64_t operations() {
+    return cluster_.At(fault_.disk).disk.operations() - initial_operations_;
   }
-  std::uint64_t operations() { return cluster_.At(fault_.disk).disk.operations() - before_; }
 
  private:
   bool Put() {
-    const std::string key = "key-" + std::to_string(++orders_);
+    const std::string key = "key-" + std::to_string(++writes_);
     const net::Time until = cluster_.net.Now() + kRecovery;
-    // One at a time, so that what was asked twice is still one write.
+    // One write at a time, so that a repeated request is still a single write.
     if (!cluster_.Put(key, "x", until - cluster_.net.Now())) return false;
     acknowledged_.push_back(key);
     return true;
   }
-  // It takes writes and, where it is a replica, has them all. An emptied disk is another one, whose
-  // place may be taken.
-  bool IsBack() {
+  // Whether the faulty disk accepts writes again and, if it is a replica, has all of them. A
+  // damaged disk returns as a new one, which may not be a replica.
+  bool HasRecovered() {
     Group& group = cluster_.At(fault_.disk).group();
     Machine* const primary = cluster_.Primary();
     if (group.failed() || primary == nullptr || group.primary() != primary->address()) return false;
@@ -106,8 +110,9 @@
     }
     return fault_.failure == storage::Failure::kDamaged && record.replicas.size() == kReplicas;
   }
-  // The primary if it may be, else the first machine; never the one whose disk fails.
-  Machine& OneBut(const Machine* other) {
+  // The primary if `other` is set and the primary's disk is not the faulty one, else the first
+  // other machine. Never the machine with the faulty disk.
+  Machine& MachineOtherThan(const Machine* other) {
     Machine* const primary = cluster_.Primary();
     const Machine* const failing = &cluster_.At(fault_.disk);
     if (primary != nullptr && primary != failing && other != nullptr) return *primary;
@@ -121,64 +126,64 @@
 
   Cluster cluster_;
   Fault fault_;
-  std::uint64_t before_ = 0;
-  int orders_ = 0;
+  std::uint64_t initial_operations_ = 0;
+  int writes_ = 0;
   std::vector<std::string> acknowledged_;
 };
 
 std::uint64_t OperationsOf(std::size_t disk) {
-  Script script({disk, 0, 1, storage::Failure::kFull, 0});
-  script.Play();
-  script.Check();
-  return script.operations();
+  FaultRun run({disk, 0, 1, storage::Failure::kFull, 0});
+  run.Execute();
+  run.Check();
+  return run.operations();
 }
 
-// Every operation of two disks, which between them are primary, backup and learner.
-void PlayAll(storage::Failure failure) {
-  std::size_t played = 0;
+// Fails every operation of two disks, which together cover the roles primary, backup and learner.
+void RunAllOperations(storage::Failure failure) {
+  std::size_t runs = 0;
   for (const std::size_t disk : {std::size_t{0}, std::size_t{1}}) {
     const std::uint64_t operations = OperationsOf(disk);
     BOOST_REQUIRE(operations > 5U);
     for (std::uint64_t operation = 1; operation <= operations; ++operation) {
-      for (const std::uint64_t times : {std::uint64_t{1}, std::uint64_t{3}, kForEver}) {
-        Script script({disk, operation, times, failure, operation % 2 == 0 ? kAll : 0});
-        script.Play();
-        script.Check();
-        ++played;
+      for (const std::uint64_t times : {std::uint64_t{1}, std::uint64_t{3}, kForever}) {
+        FaultRun run({disk, operation, times, failure, operation % 2 == 0 ? kAll : 0});
+        run.Execute();
+        run.Check();
+        ++runs;
       }
     }
   }
-  BOOST_TEST_MESSAGE(played << " runs");
+  BOOST_TEST_MESSAGE(runs << " runs");
 }
 
-BOOST_AUTO_TEST_CASE(full_at_any_write) { PlayAll(storage::Failure::kFull); }
-BOOST_AUTO_TEST_CASE(transient_at_any_write) { PlayAll(storage::Failure::kTransient); }
-BOOST_AUTO_TEST_CASE(damaged_at_any_write) { PlayAll(storage::Failure::kDamaged); }
-BOOST_AUTO_TEST_CASE(fatal_at_any_write) { PlayAll(storage::Failure::kFatal); }
+BOOST_AUTO_TEST_CASE(full_at_any_write) { RunAllOperations(storage::Failure::kFull); }
+BOOST_AUTO_TEST_CASE(transient_at_any_write) { RunAllOperations(storage::Failure::kTransient); }
+BOOST_AUTO_TEST_CASE(damaged_at_any_write) { RunAllOperations(storage::Failure::kDamaged); }
+BOOST_AUTO_TEST_CASE(fatal_at_any_write) { RunAllOperations(storage::Failure::kFatal); }
 
-// ---- The matrix: step, disk, kind of operation, moment, how often, class.
+// ---- The matrix: step, disk, kind of operation, position, number of failures, failure class.
 
 using storage::DiskOperation;
 using storage::Failure;
 
 constexpr Failure kFailures[] = {Failure::kFull, Failure::kTransient, Failure::kDamaged,
                                  Failure::kFatal};
-constexpr std::uint64_t kTimes[] = {1, 3, kForEver};
+constexpr std::uint64_t kTimes[] = {1, 3, kForever};
 
 std::uint64_t Stride() {
   const auto& suite = boost::unit_test::framework::master_test_suite();
   return suite.argc > 1 ? std::max<std::uint64_t>(std::strtoull(suite.argv[1], nullptr, 10), 1) : 1;
 }
 
-// A disk that is lost with its machine, and another one that is damaged or refuses for good before
-// the time to catch up has passed, are two losses at one time: more than are tolerated here.
+// A disk that is lost with its machine and another one that is damaged or fails permanently before
+// the first is replaced are two simultaneous losses, which is more than is tolerated here.
 bool IsTolerated(const StepFault& fault) {
-  const bool loses_another = fault.damages() || fault.is_for_ever();
-  return fault.step != CoreStep::kReplace || fault.disk == DiskOf::kMover || !loses_another;
+  const bool loses_another = fault.damages_disk() || fault.is_permanent();
+  return fault.step != CoreStep::kReplace || fault.disk == FaultyDisk::kSubject || !loses_another;
 }
 
-// A write, a sync or the opening of a disk fails at its `nth` time in the step.
-void AddOperation(std::vector<StepFault>& all, CoreStep step, DiskOf disk, DiskOperation kind,
+// The `nth` write, sync or open in the step fails.
+void AddOperation(std::vector<StepFault>& all, CoreStep step, FaultyDisk disk, DiskOperation kind,
                   std::uint64_t nth) {
   for (const Failure failure : kFailures) {
     for (const std::uint64_t times : kTimes) {
@@ -187,8 +192,8 @@
   }
 }
 
-// The `nth` write fails, then what the recovery behind it does.
-void AddRecovery(std::vector<StepFault>& all, CoreStep step, DiskOf disk, std::uint64_t nth) {
+// The `nth` write fails, and so does the recovery that follows.
+void AddRecovery(std::vector<StepFault>& all, CoreStep step, FaultyDisk disk, std::uint64_t nth) {
   for (const Failure failure : kFailures) {
     for (const std::uint64_t times : kTimes) {
       all.push_back({step,
@@ -207,8 +212,9 @@
 
 std::vector<StepFault> FaultsOf(CoreStep step) {
   std::vector<StepFault> all;
-  for (const DiskOf disk : kDisksOf) {
-    if (step == CoreStep::kTransfer && disk == DiskOf::kMover) continue;  // It is the primary.
+  for (const FaultyDisk disk : kFaultyDisks) {
+    if (step == CoreStep::kTransfer && disk == FaultyDisk::kSubject)
+      continue;  // The subject is the primary.
     auto operations = OperationsOf(step, disk);
     for (const DiskOperation kind :
          {DiskOperation::kWrite, DiskOperation::kSync, DiskOperation::kOpen}) {
@@ -217,7 +223,7 @@
       }
     }
     const std::uint64_t writes = operations[DiskOperation::kWrite];
-    BOOST_TEST(writes > 0U, NameOf(step) << ": nothing is written at the " << NameOf(disk));
+    BOOST_TEST(writes > 0U, NameOf(step) << ": no write on the disk of the " << NameOf(disk));
     for (const std::uint64_t nth : {std::uint64_t{1}, writes / 2 + 1}) {
       AddRecovery(all, step, disk, nth);
     }
@@ -226,26 +232,26 @@
   return all;
 }
 
-void PlayMatrix(CoreStep step) {
+void RunMatrix(CoreStep step) {
   const std::vector<StepFault> all = FaultsOf(step);
   const std::uint64_t stride = Stride();
-  std::size_t played = 0;
+  std::size_t runs = 0;
   for (std::size_t at = 0; at < all.size(); at += stride) {
-    for (const std::string& broken : PlayStep(all[at], kRecovery)) {
-      BOOST_ERROR(TextOf(all[at]) << ": " << broken);
+    for (const std::string& violation : RunFaultedStep(all[at], kRecovery)) {
+      BOOST_ERROR(TextOf(all[at]) << ": " << violation);
     }
-    ++played;
+    ++runs;
   }
-  std::cout << NameOf(step) << ": " << played << " of " << all.size() << " runs\n";
+  std::cout << NameOf(step) << ": " << runs << " of " << all.size() << " runs\n";
 }
 
-BOOST_AUTO_TEST_CASE(any_operation_of_a_commit_fails) { PlayMatrix(CoreStep::kCommit); }
-BOOST_AUTO_TEST_CASE(any_operation_of_an_election_fails) { PlayMatrix(CoreStep::kElection); }
-BOOST_AUTO_TEST_CASE(any_operation_of_a_catch_up_fails) { PlayMatrix(CoreStep::kCatchUp); }
-BOOST_AUTO_TEST_CASE(any_operation_of_a_join_fails) { PlayMatrix(CoreStep::kJoin); }
-BOOST_AUTO_TEST_CASE(any_operation_of_a_replacement_fails) { PlayMatrix(CoreStep::kReplace); }
-BOOST_AUTO_TEST_CASE(any_operation_of_a_retirement_fails) { PlayMatrix(CoreStep::kRetire); }
-BOOST_AUTO_TEST_CASE(any_operation_of_a_transfer_fails) { PlayMatrix(CoreStep::kTransfer); }
+BOOST_AUTO_TEST_CASE(any_operation_of_a_commit_fails) { RunMatrix(CoreStep::kCommit); }
+BOOST_AUTO_TEST_CASE(any_operation_of_an_election_fails) { RunMatrix(CoreStep::kElection); }
+BOOST_AUTO_TEST_CASE(any_operation_of_a_catch_up_fails) { RunMatrix(CoreStep::kCatchUp); }
+BOOST_AUTO_TEST_CASE(any_operation_of_a_join_fails) { RunMatrix(CoreStep::kJoin); }
+BOOST_AUTO_TEST_CASE(any_operation_of_a_replacement_fails) { RunMatrix(CoreStep::kReplace); }
+BOOST_AUTO_TEST_CASE(any_operation_of_a_retirement_fails) { RunMatrix(CoreStep::kRetire); }
+BOOST_AUTO_TEST_CASE(any_operation_of_a_transfer_fails) { RunMatrix(CoreStep::kTransfer); }
 
 }  // namespace
 }  // namespace shelflink::coordination
--- a/tests/tier/coordination/full_disk_test.cpp
+++ b/tests/tier/coordination/full_disk_test.cpp
@@ -1,5 +1,5 @@
-// Disks of core members that are full for some seconds: whoever stored nothing meanwhile takes part
-// again once there is room, without a restart, however often it happens and on whichever disks.
+// Disks of core members that are full for some seconds. A member whose disk was full takes part
+// again once there is space, without a restart, however often that happens and on whichever disks.
 #define BOOST_TEST_MODULE coordination_full_disk
 #include <boost/test/unit_test.hpp>
 #include <set>
@@ -13,13 +13,13 @@
 namespace shelflink::coordination {
 namespace {
 
-constexpr net::Span kFullFor = seconds(4);
-// From the return of the room until the member has its part again.
+constexpr net::Span kFullDuration = seconds(4);
+// Time from when there is space again until the member takes part again.
 constexpr net::Span kRecovery = seconds(12);
 
 BOOST_TEST_GLOBAL_FIXTURE(CheckedInvariants);
 
-// Three disks and two members without, as the small deployments have them.
+// Three processes with disks and two without, as in small deployments.
 struct Core {
   Core() : cluster(5) {
     for (std::size_t i = 0; i < 5; ++i) cluster.At(i).Start(true, i < 3);
@@ -27,14 +27,14 @@
     BOOST_REQUIRE(cluster.Put("first", "1", seconds(1)));
     cluster.Run(seconds(1));
   }
-  void FillFor(std::size_t index, net::Span span) {
+  void FillDiskFor(std::size_t index, net::Span span) {
     cluster.At(index).disk.SetFull(true);
-    // Something is to be stored meanwhile.
+    // The failure only shows when something is to be stored.
     cluster.Put("while-full-" + std::to_string(index), "x", span);
     cluster.Run(span);
     cluster.At(index).disk.SetFull(false);
   }
-  // A disk that is not the primary's.
+  // A machine with a disk that is not the primary.
   std::size_t IndexOfBackup() { return (IndexOfPrimary() + 1) % 3; }
   std::size_t IndexOfPrimary() {
     for (std::size_t i = 0; i < 3; ++i) {
@@ -45,56 +45,57 @@
   Cluster cluster;
 };
 
-BOOST_AUTO_TEST_CASE(a_member_whose_disk_was_full_stores_again) {
+BOOST_AUTO_TEST_CASE(a_member_whose_disk_was_full_accepts_writes_again) {
   Core core;
   const std::size_t full = core.IndexOfPrimary();
-  core.FillFor(full, kFullFor);
+  core.FillDiskFor(full, kFullDuration);
   BOOST_REQUIRE(core.cluster.Put("second", "2", seconds(4)));
   Group& group = core.cluster.At(full).group();
   BOOST_TEST(core.cluster.RunUntil(
       [&] { return !group.failed() && group.contents().count("second") == 1; }, kRecovery));
 }
 
-BOOST_AUTO_TEST_CASE(disks_that_are_full_one_after_the_other_do_not_end_the_core) {
+BOOST_AUTO_TEST_CASE(disks_that_are_full_one_after_the_other_do_not_stop_the_core) {
   Core core;
   for (int round = 0; round < 5; ++round) {
-    core.FillFor(core.IndexOfPrimary(), kFullFor);
+    core.FillDiskFor(core.IndexOfPrimary(), kFullDuration);
     core.cluster.Run(kRecovery);
     BOOST_REQUIRE_MESSAGE(core.cluster.Put("after-" + std::to_string(round), "x", seconds(4)),
                           "nothing is acknowledged after " << round + 1 << " full disks");
   }
 }
 
-BOOST_AUTO_TEST_CASE(all_disks_full_at_once_rest_the_core_until_there_is_room) {
+BOOST_AUTO_TEST_CASE(all_disks_full_at_once_stop_the_core_until_there_is_space) {
   Core core;
   for (std::size_t i = 0; i < 3; ++i) core.cluster.At(i).disk.SetFull(true);
-  BOOST_TEST(!core.cluster.Put("while-full", "x", kFullFor));
+  BOOST_TEST(!core.cluster.Put("while-full", "x", kFullDuration));
   for (std::size_t i = 0; i < 3; ++i) core.cluster.At(i).disk.SetFull(false);
   BOOST_TEST(core.cluster.Put("second", "2", kRecovery));
   BOOST_TEST(core.cluster.ThePrimary().group().contents().at("first") == "1");
 }
 
-// ---- Odd moments.
+// ---- Disks that become full during other operations.
 
-// Every disk takes writes, one is primary, and so many replicas hold what it holds.
-void CheckWhole(Cluster& cluster, std::size_t disks, std::size_t replicas) {
+// Checks that all disks accept writes, that there is a primary and that `replicas` replicas have
+// its whole map.
+void CheckComplete(Cluster& cluster, std::size_t disks, std::size_t replicas) {
   BOOST_REQUIRE(cluster.Put("last", "1", kRecovery));
   const Contents expected = cluster.ThePrimary().group().contents();
-  std::size_t whole = 0;
+  std::size_t complete = 0;
   const bool all = cluster.RunUntil(
       [&] {
-        whole = 0;
+        complete = 0;
         for (std::size_t i = 0; i < disks; ++i) {
           if (cluster.At(i).group().failed()) return false;
-          whole += cluster.At(i).group().contents() == expected ? 1 : 0;
+          complete += cluster.At(i).group().contents() == expected ? 1 : 0;
         }
-        return whole >= replicas;
+        return complete >= replicas;
       },
       kRecovery);
-  BOOST_TEST(all, whole << " replicas are whole");
+  BOOST_TEST(all, complete << " replicas are complete");
 }
 
-// Runs for so long, and never meets two primaries.
+// Runs for `span` and checks that there are never two primaries.
 void RunWithOnePrimary(Cluster& cluster, net::Span span) {
   const net::Time until = cluster.net.Now() + span;
   while (cluster.net.Now() < until) {
@@ -107,7 +108,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_primary_whose_disk_refuses_steps_down_at_once_with_its_lease_running) {
+BOOST_AUTO_TEST_CASE(a_primary_with_a_failed_disk_steps_down_at_once_despite_its_lease) {
   Core core;
   const std::size_t full = core.IndexOfPrimary();
   Group& group = core.cluster.At(full).group();
@@ -129,28 +130,28 @@
   RunWithOnePrimary(core.cluster, seconds(3));
   core.cluster.At(full).disk.SetFull(false);
   RunWithOnePrimary(core.cluster, seconds(3));
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
 }
 
-// Leases are granted without a sync: a member must not go on granting until one has failed.
-BOOST_AUTO_TEST_CASE(a_member_notices_in_the_step_that_writes_that_its_disk_refuses) {
+// Leases are granted without a sync. A member must not grant leases until the next sync fails.
+BOOST_AUTO_TEST_CASE(a_member_detects_a_full_disk_in_the_step_that_writes) {
   Core core;
   Machine& machine = core.cluster.At(core.IndexOfBackup());
-  machine.sync_takes = milliseconds(800);
+  machine.sync_time = milliseconds(800);
   machine.disk.SetFull(true);
   core.cluster.Put("second", "2", milliseconds(50));
   BOOST_TEST(machine.group().failed());
   core.cluster.Run(milliseconds(700));
-  machine.sync_takes = kSyncTakes;
+  machine.sync_time = kSyncTime;
   machine.disk.SetFull(false);
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
 }
 
 bool NamesReplica(const Group& group, const std::string& disk) {
   return FindDisk(group.member().record().replicas, disk) != nullptr;
 }
 
-// What a process that is told to end is answered.
+// Whether a process that is asked to shut down may end now.
 bool MayEnd(Cluster& cluster, Group& group) {
   std::optional<bool> moved;
   group.Transfer([&](bool result) { moved = result; });
@@ -158,7 +159,7 @@
   return moved.value_or(false);
 }
 
-BOOST_AUTO_TEST_CASE(a_process_whose_disk_refuses_knows_the_primary_and_may_end) {
+BOOST_AUTO_TEST_CASE(a_process_with_a_failed_disk_knows_the_primary_and_may_end) {
   Core core;
   const std::size_t full = core.IndexOfPrimary();
   const std::string disk = core.cluster.At(full).group().member().options().self.disk;
@@ -172,8 +173,8 @@
   BOOST_TEST(MayEnd(core.cluster, group));
 }
 
-// The third disk is away, so that no record can name another in place of the one that refuses.
-BOOST_AUTO_TEST_CASE(a_process_whose_disk_refuses_stays_while_a_record_names_the_disk) {
+// The third disk is stopped, so no record can name another disk in place of the failed one.
+BOOST_AUTO_TEST_CASE(a_process_with_a_failed_disk_stays_while_a_record_names_the_disk) {
   Core core;
   Machine& primary = core.cluster.ThePrimary();
   Machine& full = core.cluster.At(core.IndexOfBackup());
@@ -194,22 +195,22 @@
   BOOST_TEST(full.group().failed());
   BOOST_TEST(!NamesReplica(core.cluster.ThePrimary().group(), disk));
   full.disk.SetFull(false);
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
 }
 
-BOOST_AUTO_TEST_CASE(who_comes_back_is_another_incarnation_and_counts_its_failures) {
+BOOST_AUTO_TEST_CASE(a_recovered_member_has_a_new_incarnation_and_counts_its_failures) {
   Core core;
   const std::size_t full = core.IndexOfBackup();
   Group& group = core.cluster.At(full).group();
   std::set<std::uint64_t> incarnations{group.member().options().incarnation};
   for (std::uint64_t round = 1; round <= 3; ++round) {
-    core.FillFor(full, seconds(1));
+    core.FillDiskFor(full, seconds(1));
     BOOST_REQUIRE(core.cluster.RunUntil([&] { return !group.failed(); }, kRecovery));
     BOOST_TEST(incarnations.insert(group.member().options().incarnation).second);
     BOOST_TEST(group.disk_status().failures == round);
     BOOST_TEST(group.disk_status().recoveries == round);
   }
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
 }
 
 BOOST_AUTO_TEST_CASE(a_disk_that_is_full_at_the_start_is_used_once_there_is_room) {
@@ -221,11 +222,11 @@
   BOOST_TEST(cluster.At(2).group().failed());
   BOOST_TEST((cluster.At(2).group().primary() == cluster.ThePrimary().address()));
   cluster.At(2).disk.SetFull(false);
-  CheckWhole(cluster, 3, 3);
+  CheckComplete(cluster, 3, 3);
 }
 
-// The same with the real storage, whose file cannot even be made.
-BOOST_AUTO_TEST_CASE(a_core_process_starts_without_room_for_its_files) {
+// With the real storage, whose file cannot even be created.
+BOOST_AUTO_TEST_CASE(a_core_process_starts_without_space_for_its_files) {
   const storage::Folder folder;
   storage::StepLoop loop;
   ProcessSettings settings;
@@ -241,18 +242,18 @@
   BOOST_TEST(!opened.value()->failed());
 }
 
-BOOST_AUTO_TEST_CASE(a_system_whose_disks_are_all_full_at_its_first_start_is_founded_later) {
+BOOST_AUTO_TEST_CASE(a_system_with_full_disks_at_its_first_start_bootstraps_later) {
   Cluster cluster(3);
   for (auto& machine : cluster.machines) machine->disk.SetFull(true);
   cluster.StartAll();
   cluster.Run(seconds(3));
   BOOST_TEST((cluster.Primary() == nullptr));
   for (auto& machine : cluster.machines) machine->disk.SetFull(false);
-  CheckWhole(cluster, 3, 3);
+  CheckComplete(cluster, 3, 3);
 }
 
-// The identity is durable before the member that founds is started.
-BOOST_AUTO_TEST_CASE(a_system_whose_processes_end_between_identity_and_founding_is_founded_later) {
+// The identity becomes durable before the member that bootstraps the system starts.
+BOOST_AUTO_TEST_CASE(a_system_whose_processes_end_between_identity_and_bootstrap_bootstraps_later) {
   Cluster cluster(3);
   for (auto& machine : cluster.machines) machine->disk.SetFull(true);
   cluster.StartAll();
@@ -267,21 +268,21 @@
     BOOST_TEST(machine.group().member().options().self.disk == disk);
   }
   cluster.At(2).disk.SetFull(false);
-  CheckWhole(cluster, 3, 3);
+  CheckComplete(cluster, 3, 3);
 }
 
-BOOST_AUTO_TEST_CASE(a_disk_that_held_a_record_never_founds_again) {
+BOOST_AUTO_TEST_CASE(a_disk_that_held_a_record_never_bootstraps_again) {
   Core core;
   for (std::size_t i = 0; i < 3; ++i) core.cluster.At(i).Stop();
   for (std::size_t i = 0; i < 3; ++i) {
     core.cluster.At(i).Start(true);
     BOOST_TEST(!core.cluster.At(i).group().member().options().found);
   }
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
   BOOST_TEST(core.cluster.ThePrimary().group().contents().at("first") == "1");
 }
 
-BOOST_AUTO_TEST_CASE(a_disk_that_fills_during_an_election_delays_it_only) {
+BOOST_AUTO_TEST_CASE(a_disk_that_fills_during_an_election_only_delays_it) {
   Core core;
   for (const net::Span into : {milliseconds(900), milliseconds(1050), milliseconds(1300)}) {
     const std::size_t primary = core.IndexOfPrimary();
@@ -293,11 +294,11 @@
     core.cluster.At(full).disk.SetFull(false);
     BOOST_TEST(core.cluster.Put("elected", "1", kRecovery));
     core.cluster.At(primary).Start(false);
-    CheckWhole(core.cluster, 3, 3);
+    CheckComplete(core.cluster, 3, 3);
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_disk_that_fills_during_a_catch_up_begins_it_anew) {
+BOOST_AUTO_TEST_CASE(a_disk_that_fills_during_a_catch_up_restarts_it) {
   Core core;
   const std::size_t behind = core.IndexOfBackup();
   core.cluster.At(behind).Stop();
@@ -312,10 +313,10 @@
     core.cluster.Run(milliseconds(300));
     core.cluster.At(behind).disk.SetFull(false);
   }
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
 }
 
-// Four disks, one leaves for good: while the members change, another one's disk fills.
+// One of the machines stops; while the members of the record change, the disk of another one fills.
 BOOST_AUTO_TEST_CASE(a_disk_that_fills_during_a_change_of_members_loses_nothing) {
   for (int of_primary = 0; of_primary < 2; ++of_primary) {
     Cluster cluster(5);
@@ -332,24 +333,24 @@
     full.disk.SetFull(false);
     BOOST_TEST(cluster.Put("second", "2", kRecovery));
     gone.Start(false);
-    CheckWhole(cluster, 5, 3);
+    CheckComplete(cluster, 5, 3);
     BOOST_TEST(cluster.ThePrimary().group().contents().at("first") == "1");
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_disk_that_is_full_again_and_again_while_it_recovers_comes_back_at_last) {
+BOOST_AUTO_TEST_CASE(a_disk_that_fills_repeatedly_during_recovery_recovers_at_last) {
   Core core;
   const std::size_t full = core.IndexOfPrimary();
   storage::CrashDisk& disk = core.cluster.At(full).disk;
-  core.FillFor(full, seconds(1));
+  core.FillDiskFor(full, seconds(1));
   for (std::uint64_t operation = 1; operation <= 12; ++operation) {
     disk.FailFrom(operation, 2, storage::Failure::kFull);
     BOOST_TEST(core.cluster.Put("again-" + std::to_string(operation), "x", seconds(6)));
   }
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
 }
 
-BOOST_AUTO_TEST_CASE(two_full_disks_of_five_stop_nobody_where_two_are_tolerated) {
+BOOST_AUTO_TEST_CASE(two_full_disks_of_five_do_not_stop_a_core_that_tolerates_two) {
   Cluster cluster(5, 1, 2);
   cluster.StartAll();
   BOOST_REQUIRE(cluster.Put("first", "1", seconds(4)));
@@ -361,32 +362,32 @@
   BOOST_TEST(cluster.Put("while-full", "x", kRecovery));
   primary.disk.SetFull(false);
   backup.disk.SetFull(false);
-  CheckWhole(cluster, 5, 5);
+  CheckComplete(cluster, 5, 5);
 }
 
-BOOST_AUTO_TEST_CASE(a_damaged_disk_comes_back_as_another) {
+BOOST_AUTO_TEST_CASE(a_damaged_disk_recovers_with_a_new_identity) {
   Core core;
   Machine& machine = core.cluster.At(core.IndexOfBackup());
   const std::string before = machine.group().member().options().self.disk;
   machine.disk.FailFrom(1, 3, storage::Failure::kDamaged);
   BOOST_REQUIRE(core.cluster.Put("second", "2", seconds(4)));
   BOOST_TEST(core.cluster.RunUntil([&] { return !machine.group().failed(); }, kRecovery));
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
   BOOST_TEST(!machine.group().member().options().self.disk.empty());
   BOOST_TEST(machine.group().member().options().self.disk != before);
 }
 
-// A step back would show the owner of this process an older configuration than before.
-BOOST_AUTO_TEST_CASE(the_owner_is_told_no_older_map_than_before) {
+// Otherwise the owner of the process would see an older configuration than before.
+BOOST_AUTO_TEST_CASE(the_owner_never_receives_an_older_map_than_before) {
   Core core;
   const std::size_t full = core.IndexOfBackup();
   int newest = 0;
   core.cluster.At(full).committed = [&](const std::vector<Write>& writes) {
     for (const Write& write : writes) {
       if (write.key != "count") continue;
-      const int told = std::stoi(write.value.value_or("0"));
-      BOOST_TEST(told >= newest);
-      newest = std::max(newest, told);
+      const int count_value = std::stoi(write.value.value_or("0"));
+      BOOST_TEST(count_value >= newest);
+      newest = std::max(newest, count_value);
     }
   };
   for (int count = 1; count <= 30; ++count) {
@@ -395,7 +396,7 @@
     core.cluster.Run(milliseconds(20 * (count % 7)));
   }
   BOOST_TEST(core.cluster.RunUntil([&] { return newest == 30; }, kRecovery));
-  CheckWhole(core.cluster, 3, 3);
+  CheckComplete(core.cluster, 3, 3);
 }
 
 }  // namespace
--- a/tests/tier/coordination/group_test.cpp
+++ b/tests/tier/coordination/group_test.cpp
@@ -1,4 +1,4 @@
-// Groups over real hubs on the virtual network: the ordinary path and what it costs in time.
+// Groups over real hubs on the virtual network: normal operation and its latency.
 #define BOOST_TEST_MODULE coordination_group
 #include "tier/coordination/group.h"
 
@@ -22,7 +22,7 @@
   }
 }
 
-// A core of that size with a primary and one acknowledged write.
+// A core of `size` members with a primary and one acknowledged write.
 struct Core {
   explicit Core(std::size_t size, std::uint64_t seed = 1, std::uint64_t link_bytes_per_second = 0)
       : cluster(size, seed, 1, link_bytes_per_second) {
@@ -35,11 +35,12 @@
 };
 
 Result<void> SubmitTo(Cluster& cluster, Machine& machine, Replicator::Plan plan) {
-  std::optional<Result<void>> told;
-  machine.group().Submit(std::move(plan), [&](Result<void> result) { told = std::move(result); });
-  BOOST_TEST(!told.has_value());  // Not from inside.
-  BOOST_REQUIRE(cluster.RunUntil([&] { return told.has_value(); }, seconds(4)));
-  return *told;
+  std::optional<Result<void>> received;
+  machine.group().Submit(std::move(plan),
+                         [&](Result<void> result) { received = std::move(result); });
+  BOOST_TEST(!received.has_value());  // `done` is not called from within Submit.
+  BOOST_REQUIRE(cluster.RunUntil([&] { return received.has_value(); }, seconds(4)));
+  return *received;
 }
 
 Replicator::Plan PlanToPut(std::string key, std::string value) {
@@ -49,7 +50,7 @@
   };
 }
 
-BOOST_AUTO_TEST_CASE(only_the_primary_takes_orders_and_everyone_knows_it) {
+BOOST_AUTO_TEST_CASE(only_the_primary_accepts_plans_and_every_member_knows_it) {
   Core core(4);
   Machine& primary = core.cluster.ThePrimary();
   for (auto& machine : core.cluster.machines) {
@@ -77,7 +78,7 @@
   BOOST_TEST(primary.group().contents().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_write_that_a_cut_off_primary_took_is_unknown) {
+BOOST_AUTO_TEST_CASE(a_write_to_an_isolated_primary_has_an_unknown_result) {
   Core core(3);
   Machine& primary = core.cluster.ThePrimary();
   core.cluster.net.SetCutOff(primary.host(), true);
@@ -89,11 +90,11 @@
       seconds(1)));
 }
 
-// Leases go between its parts.
-BOOST_AUTO_TEST_CASE(a_long_entry_on_its_way_costs_the_primary_no_lease) {
-  constexpr std::uint64_t kWindowEachWay =
-      65536 * 10;  // Bytes a second, with 100 ms there and back.
-  Core core(3, 1, kWindowEachWay);
+// Lease messages are sent between the parts of the entry.
+BOOST_AUTO_TEST_CASE(a_large_entry_in_transit_does_not_cost_the_primary_its_lease) {
+  constexpr std::uint64_t kLinkBytesPerSecond =
+      65536 * 10;  // A 64 KiB window with a round trip of 100 ms.
+  Core core(3, 1, kLinkBytesPerSecond);
   Machine& primary = core.cluster.ThePrimary();
   net::Weather narrow;
   narrow.latency_low = narrow.latency_high = milliseconds(50);
@@ -101,15 +102,15 @@
   core.cluster.Run(seconds(2));
   bool lost = false;
   primary.role = [&](bool is_primary, std::uint64_t) { lost = lost || !is_primary; };
-  constexpr std::size_t kLong = 1U << 20;  // 1.6 s, and a lease is 1 s.
+  constexpr std::size_t kLargeEntryBytes = 1U << 20;  // Takes 1.6 s to send; a lease lasts 1 s.
   const Result<void> result =
-      SubmitTo(core.cluster, primary, PlanToPut("key", std::string(kLong, 'x')));
+      SubmitTo(core.cluster, primary, PlanToPut("key", std::string(kLargeEntryBytes, 'x')));
   BOOST_TEST(result.has_value(), (result ? "" : result.error().text));
   core.cluster.Run(seconds(2));
   BOOST_TEST(!lost);
 }
 
-BOOST_AUTO_TEST_CASE(replicas_follow_and_a_restarted_one_knows_what_it_had) {
+BOOST_AUTO_TEST_CASE(replicas_follow_and_a_restarted_replica_keeps_its_state) {
   Core core(3);
   for (auto& machine : core.cluster.machines) {
     BOOST_TEST(machine->group().contents().size() == 1U);
@@ -121,7 +122,7 @@
                                    milliseconds(1000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_transfer_is_over_within_the_time_of_a_stop) {
+BOOST_AUTO_TEST_CASE(a_transfer_ends_within_the_time_limit_of_a_stop) {
   for (const std::size_t size : {3U, 4U}) {
     Core core(size);
     Machine& primary = core.cluster.ThePrimary();
@@ -139,7 +140,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_machine_at_another_address_takes_the_place_of_a_lost_one) {
+BOOST_AUTO_TEST_CASE(a_machine_at_another_address_replaces_a_lost_machine) {
   for (const std::size_t size : {3U, 4U}) {
     Core core(size);
     for (int round = 0; round < 2; ++round) {
@@ -156,13 +157,13 @@
           return member.address == machine.address();
         });
       };
-      BOOST_TEST((is_named(fresh) || size > 3));  // Three of the others suffice.
+      BOOST_TEST((is_named(fresh) || size > 3));  // With 4 machines the other three suffice.
       BOOST_TEST(!is_named(lost));
     }
   }
 }
 
-// The seeds of the file have gone; what the members remember suffices.
+// The configured seeds no longer exist; the members use the addresses in their stored record.
 BOOST_AUTO_TEST_CASE(restarted_members_need_no_seeds) {
   Core core(4);
   for (auto& machine : core.cluster.machines) machine->Stop();
@@ -173,7 +174,7 @@
   BOOST_TEST(core.cluster.Put("second", "2", seconds(2)));
 }
 
-BOOST_AUTO_TEST_CASE(a_process_without_a_disk_forwards_only) {
+BOOST_AUTO_TEST_CASE(a_process_without_a_disk_only_knows_the_primary) {
   Cluster cluster(4);
   for (std::size_t i = 0; i < 3; ++i) cluster.At(i).Start(true);
   cluster.At(3).Start(true, false);
@@ -186,7 +187,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_full_disk_costs_its_member_the_place_and_nobody_the_order) {
+BOOST_AUTO_TEST_CASE(a_full_disk_excludes_its_member_and_loses_no_order) {
   for (const bool of_primary : {true, false}) {
     Core core(3);
     Machine& primary = core.cluster.ThePrimary();
@@ -198,8 +199,8 @@
   }
 }
 
-// What a core at rest costs: messages and timers, not processor time, which only a real run tells.
-BOOST_AUTO_TEST_CASE(a_core_at_rest_says_little) {
+// Counts messages and timers. Processor time can only be measured in a real run.
+BOOST_AUTO_TEST_CASE(an_idle_core_causes_few_events) {
   Core core(4);
   const std::uint64_t before = core.cluster.net.events();
   core.cluster.Run(seconds(10));
--- a/tests/tier/coordination/hard_cases_test.cpp
+++ b/tests/tier/coordination/hard_cases_test.cpp
@@ -1,4 +1,4 @@
-// The hard cases of the core, each with its fault brought about every time.
+// Difficult failure cases of the core, each produced deterministically.
 #define BOOST_TEST_MODULE coordination_hard_cases
 #include <boost/test/unit_test.hpp>
 
@@ -12,9 +12,9 @@
 
 constexpr net::Span kLease = milliseconds(1000);
 constexpr net::Span kFailover = kLease + milliseconds(500);
-constexpr std::size_t kAll = 1000;
+constexpr std::size_t kAllBatches = 1000;
 
-// A core of that size that serves and has acknowledged one order.
+// A core of `size` members that is serving and has acknowledged one order.
 struct Core {
   explicit Core(std::size_t size) : world(size, 1) {
     world.NextOrder(0);
@@ -32,8 +32,8 @@
     world.NextOrder(1);
   }
   const coordination::Record& Record() const { return world.nodes[primary].member->record(); }
-  // The order is acknowledged, but its client never hears of it: it repeats it.
-  void AcknowledgeUnheard() {
+  // The order is acknowledged, but the reply does not reach the client, which will repeat it.
+  void AcknowledgeWithoutReply() {
     const std::size_t before = world.history.acknowledged();
     world.Submit(primary, 0);
     for (int i = 0; i < 100 && world.history.acknowledged() == before; ++i) {
@@ -41,8 +41,8 @@
     }
     BOOST_REQUIRE(world.history.acknowledged() == before + 1);
   }
-  // How long nobody serves from now on.
-  net::Span UntilServed(const World::Trouble& trouble = {}) {
+  // The time until some member serves.
+  net::Span TimeUntilServed(const World::Trouble& trouble = {}) {
     const net::Time from = world.now;
     while (world.now - from < seconds(10)) {
       const auto serving = world.Primary();
@@ -51,39 +51,40 @@
     }
     return seconds(10);
   }
-  void CheckKept() {
+  void CheckAcknowledgedKept() {
     world.Run(milliseconds(100));
     const auto serving = world.Primary();
     BOOST_REQUIRE(serving.has_value());
-    world.history.AtTheEnd(world.DocumentAt(*serving));
+    world.history.CheckFinalState(world.DocumentAt(*serving));
     for (const std::string& finding : world.history.findings()) BOOST_ERROR(finding);
   }
 
   World world;
   std::size_t primary = 0;
-  std::vector<std::size_t> replicas;  // Of the record, without the primary.
+  std::vector<std::size_t> replicas;  // Replicas of the record other than the primary.
   std::vector<std::size_t> others;
 };
 
-BOOST_AUTO_TEST_CASE(an_unheard_acknowledgement_is_repeated_at_another_replica_during_failover) {
+BOOST_AUTO_TEST_CASE(an_order_with_a_lost_acknowledgement_is_repeated_during_failover) {
   for (const std::size_t size : {3U, 4U}) {
     Core core(size);
-    core.AcknowledgeUnheard();
+    core.AcknowledgeWithoutReply();
     const Order order = core.world.orders[0];
     core.world.Crash(core.primary, 0);
-    BOOST_TEST((core.UntilServed() <= kFailover));
+    BOOST_TEST((core.TimeUntilServed() <= kFailover));
     const std::size_t other = core.world.Primary().value();
     BOOST_TEST(other != core.primary);
     const std::size_t before = core.world.history.findings().size();
     core.world.Submit(other, 0);
     BOOST_TEST(core.world.history.findings().size() == before);
     BOOST_TEST((core.world.DocumentAt(other) == Document{order.base + 1, order.content}));
-    core.CheckKept();
+    core.CheckAcknowledgedKept();
   }
 }
 
-// Stored by one replica only, its primary dead: in force or not, but one answer for ever.
-BOOST_AUTO_TEST_CASE(an_order_on_one_replica_alone_has_one_fate) {
+// The order is stored by one replica only and the primary has crashed. It may be committed or not,
+// but the result never changes.
+BOOST_AUTO_TEST_CASE(an_order_on_a_single_replica_has_one_final_result) {
   for (const bool kept : {false, true}) {
     Core core(3);
     const std::size_t holder = core.replicas[0];
@@ -98,13 +99,14 @@
     core.world.Crash(core.primary, 0);
     const std::size_t silent = kept ? other : holder;
     const World::Trouble trouble{nullptr, [&](std::size_t node) { return node == silent; }};
-    core.world.Run(seconds(3), trouble);  // Too few to acknowledge; the next primary is fixed.
+    core.world.Run(seconds(3),
+                   trouble);  // Too few to acknowledge, but the next primary is determined.
     core.world.Run(seconds(3));
     core.world.Start(core.primary);
     core.world.Run(seconds(2));
     const auto serving = core.world.Primary();
     BOOST_REQUIRE(serving.has_value());
-    core.world.Submit(*serving, 1);  // On the same version: certain refusal or acknowledgement.
+    core.world.Submit(*serving, 1);  // Based on the same version: rejected or acknowledged.
     core.world.Run(milliseconds(100));
     const Document now = core.world.DocumentAt(*serving);
     BOOST_TEST(now.version == order.base + 1);
@@ -112,25 +114,25 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_primary_cut_off_in_one_direction_loses_its_place) {
+BOOST_AUTO_TEST_CASE(a_primary_isolated_in_one_direction_is_replaced) {
   for (const std::size_t size : {3U, 4U}) {
-    for (const bool deaf : {false, true}) {
+    for (const bool cannot_receive : {false, true}) {
       Core core(size);
       core.world.Submit(core.primary, 0);
       const std::size_t cut_off = core.primary;
       const World::Trouble trouble{[&](std::size_t from, std::size_t to) {
-                                     return from != to && (deaf ? to : from) == cut_off;
+                                     return from != to && (cannot_receive ? to : from) == cut_off;
                                    },
                                    nullptr};
       core.world.Run(milliseconds(950), trouble);
       BOOST_TEST(!core.world.nodes[cut_off].member->HasLease(core.world.now));
-      core.UntilServed(trouble);
+      core.TimeUntilServed(trouble);
       BOOST_REQUIRE(core.world.Primary().has_value());
       BOOST_TEST(core.world.Primary().value() != cut_off);
       core.world.NextOrder(1);
       BOOST_TEST(core.world.Acknowledges(1, seconds(1), trouble));
       core.world.Run(seconds(2));
-      core.CheckKept();
+      core.CheckAcknowledgedKept();
     }
   }
 }
@@ -139,7 +141,7 @@
   for (const std::size_t size : {3U, 4U}) {
     for (std::size_t lost = 0; lost < size; ++lost) {
       Core core(size);
-      core.AcknowledgeUnheard();
+      core.AcknowledgeWithoutReply();
       for (std::size_t node = 0; node < size; ++node) {
         if (node == lost) {
           core.world.Wipe(node);
@@ -150,18 +152,18 @@
       core.world.flights.clear();
       core.world.Run(milliseconds(300));
       for (std::size_t node = 0; node < size; ++node) core.world.Start(node);
-      BOOST_TEST((core.UntilServed() <= 2 * kLease));
-      core.CheckKept();
+      BOOST_TEST((core.TimeUntilServed() <= 2 * kLease));
+      core.CheckAcknowledgedKept();
       core.world.NextOrder(0);
       BOOST_TEST(core.world.Acknowledges(0, seconds(2)));
-      core.CheckKept();
+      core.CheckAcknowledgedKept();
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(all_killed_and_disks_lost_beyond_tolerance_invents_nothing) {
+BOOST_AUTO_TEST_CASE(no_primary_exists_after_all_disks_are_lost) {
   Core core(3);
-  core.AcknowledgeUnheard();
+  core.AcknowledgeWithoutReply();
   for (std::size_t node = 0; node < 3; ++node) core.world.Wipe(node);
   core.world.flights.clear();
   for (std::size_t node = 0; node < 3; ++node) core.world.Start(node);
@@ -173,13 +175,13 @@
   }
 }
 
-// Both replicas of a record lost; a third disk, left out before, has an older state.
-BOOST_AUTO_TEST_CASE(an_older_state_never_leads_when_the_newer_ones_are_lost) {
+// Both replicas of the record are lost. A third disk that was dropped earlier has an older state.
+BOOST_AUTO_TEST_CASE(a_replica_with_older_state_never_becomes_primary) {
   Core core(3);
-  const std::size_t old_one = core.replicas[1];
-  core.world.Run(seconds(1), {nullptr, [&](std::size_t node) { return node == old_one; }});
-  core.AcknowledgeUnheard();  // By the record without it.
-  BOOST_TEST(FindDisk(core.Record().replicas, core.world.nodes[old_one].identity) == nullptr);
+  const std::size_t stale = core.replicas[1];
+  core.world.Run(seconds(1), {nullptr, [&](std::size_t node) { return node == stale; }});
+  core.AcknowledgeWithoutReply();  // Under the record without the stale disk.
+  BOOST_TEST(FindDisk(core.Record().replicas, core.world.nodes[stale].identity) == nullptr);
   core.world.Wipe(core.primary);
   core.world.Wipe(core.replicas[0]);
   core.world.flights.clear();
@@ -190,29 +192,29 @@
   for (const std::string& finding : core.world.history.findings()) BOOST_ERROR(finding);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_returns_with_an_older_state_after_an_epoch_it_never_saw) {
+BOOST_AUTO_TEST_CASE(a_replica_returns_with_older_state_after_an_epoch_it_missed) {
   for (const std::size_t size : {3U, 4U}) {
     Core core(size);
-    const std::size_t old_one = core.replicas[1];
-    core.world.Crash(old_one, 0);
+    const std::size_t stale = core.replicas[1];
+    core.world.Crash(stale, 0);
     core.world.Run(seconds(1));
-    core.AcknowledgeUnheard();
+    core.AcknowledgeWithoutReply();
     const std::uint64_t epoch = core.Record().number;
     core.world.NextOrder(0);
-    core.world.Crash(core.primary, 0);  // And an election it does not see either.
+    core.world.Crash(core.primary, 0);  // Causes an election that it misses too.
     core.world.Start(core.primary);
     BOOST_REQUIRE(core.world.Acknowledges(0, seconds(4)));
-    core.world.Start(old_one);
+    core.world.Start(stale);
     core.world.Run(seconds(2));
-    const Member& member = *core.world.nodes[old_one].member;
+    const Member& member = *core.world.nodes[stale].member;
     BOOST_TEST(member.record().number > epoch);
-    BOOST_TEST(core.world.Primary().value() != old_one);
+    BOOST_TEST(core.world.Primary().value() != stale);
     if (size == 3) {
-      BOOST_TEST(FindDisk(member.record().replicas, core.world.nodes[old_one].identity) != nullptr);
+      BOOST_TEST(FindDisk(member.record().replicas, core.world.nodes[stale].identity) != nullptr);
       BOOST_TEST(
-          (core.world.DocumentAt(old_one) == core.world.DocumentAt(core.world.Primary().value())));
+          (core.world.DocumentAt(stale) == core.world.DocumentAt(core.world.Primary().value())));
     }
-    core.CheckKept();
+    core.CheckAcknowledgedKept();
   }
 }
 
@@ -220,7 +222,7 @@
   for (const std::size_t size : {3U, 4U}) {
     Core core(size);
     for (const std::size_t node : {core.primary, core.replicas[0], core.replicas[1]}) {
-      core.AcknowledgeUnheard();
+      core.AcknowledgeWithoutReply();
       core.world.NextOrder(0);
       core.world.Wipe(node);
       core.world.Run(milliseconds(500));
@@ -231,57 +233,57 @@
       const Record record = core.Record();
       BOOST_TEST(record.replicas.size() == 3U);
       BOOST_TEST(record.witnesses.size() == 3U);
-      // Only disks that exist are named.
+      // The record names only existing disks.
       for (const CoreMember& member : MembersOf(record)) {
         BOOST_TEST(std::any_of(core.world.nodes.begin(), core.world.nodes.end(),
                                [&](const Node& one) { return one.identity == member.disk; }));
       }
-      core.CheckKept();
+      core.CheckAcknowledgedKept();
       core.world.NextOrder(0);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_frozen_primary_wakes_without_a_lease_and_without_a_vote) {
+BOOST_AUTO_TEST_CASE(a_paused_primary_resumes_without_a_lease) {
   for (const std::size_t size : {3U, 4U}) {
     Core core(size);
-    const std::size_t frozen = core.primary;
+    const std::size_t paused = core.primary;
     const std::uint64_t epoch = core.Record().number;
-    core.world.Submit(frozen, 0);
-    const World::Trouble trouble{nullptr, [&](std::size_t node) { return node == frozen; }};
+    core.world.Submit(paused, 0);
+    const World::Trouble trouble{nullptr, [&](std::size_t node) { return node == paused; }};
     BOOST_TEST(core.world.Acknowledges(1, kFailover + milliseconds(300), trouble));
-    const Member& member = *core.world.nodes[frozen].member;
-    BOOST_TEST(member.record().number == epoch);   // It knows of nothing,
-    BOOST_TEST(!member.HasLease(core.world.now));  // and yet does not act.
+    const Member& member = *core.world.nodes[paused].member;
+    BOOST_TEST(member.record().number == epoch);   // It knows no newer record,
+    BOOST_TEST(!member.HasLease(core.world.now));  // but does not act as primary.
     BOOST_TEST(core.world.nodes[core.world.Primary().value()].member->epoch() > epoch);
     core.world.Run(seconds(2));
-    BOOST_TEST(core.world.Primary().value() != frozen);
-    core.CheckKept();
+    BOOST_TEST(core.world.Primary().value() != paused);
+    core.CheckAcknowledgedKept();
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_restarted_primary_needs_a_new_epoch) {
   Core core(3);
   const std::uint64_t epoch = core.Record().number;
-  core.world.Crash(core.primary, kAll);
+  core.world.Crash(core.primary, kAllBatches);
   core.world.Start(core.primary);
-  BOOST_TEST((core.UntilServed() <= kFailover));
+  BOOST_TEST((core.TimeUntilServed() <= kFailover));
   BOOST_TEST(core.world.nodes[core.world.Primary().value()].member->epoch() > epoch);
-  core.CheckKept();
+  core.CheckAcknowledgedKept();
 }
 
-BOOST_AUTO_TEST_CASE(a_planned_transfer_takes_a_moment) {
+BOOST_AUTO_TEST_CASE(a_planned_transfer_takes_at_most_200_ms) {
   for (const std::size_t size : {3U, 4U}) {
     Core core(size);
     core.world.Transfer(core.primary);
     core.world.Run(milliseconds(20));
-    BOOST_TEST((core.UntilServed() <= milliseconds(180)));
+    BOOST_TEST((core.TimeUntilServed() <= milliseconds(180)));
     BOOST_TEST(core.world.Primary().value() != core.primary);
-    core.CheckKept();
+    core.CheckAcknowledgedKept();
   }
 }
 
-BOOST_AUTO_TEST_CASE(one_machine_in_any_trouble_is_got_over_within_a_lease_and_a_half) {
+BOOST_AUTO_TEST_CASE(failover_from_any_single_fault_takes_at_most_a_lease_and_a_half) {
   for (const std::size_t size : {3U, 4U}) {
     for (std::size_t node = 0; node < size; ++node) {
       for (const int kind : {0, 1, 2}) {
--- a/tests/tier/coordination/learner_file_test.cpp
+++ b/tests/tier/coordination/learner_file_test.cpp
@@ -1,5 +1,5 @@
-// A learner on a real file: what it stored is found whole when the file is opened again, whatever
-// came to it between two syncs.
+// A learner on a real file: the stored state is complete when the file is opened again, whatever
+// the learner received between two syncs.
 #define BOOST_TEST_MODULE tier_learner_file
 #include <boost/test/unit_test.hpp>
 
@@ -12,7 +12,7 @@
 
 constexpr int kEntries = 60;
 
-// Many small values, as of placements and batch jobs, and one that is large, by turns.
+// Two entries with many small values, as of placements and batch jobs, then one with a large value.
 std::vector<Write> WritesOf(int number) {
   std::vector<Write> writes;
   const int count = number % 3 == 0 ? 1 : 40 + 7 * (number % 11);
@@ -22,7 +22,7 @@
   return writes;
 }
 
-BOOST_AUTO_TEST_CASE(what_a_learner_stored_is_whole_when_its_file_is_opened_again) {
+BOOST_AUTO_TEST_CASE(the_state_of_a_learner_is_complete_after_reopening_its_file) {
   const storage::Folder folder;
   storage::StepLoop loop;
   int reopened_empty = 0;
@@ -54,7 +54,7 @@
     BOOST_REQUIRE(replica.complete());
     Position last;
     for (int number = 0; number < kEntries; ++number) {
-      // An entry and the word that it is committed, both taken in one turn of the loop.
+      // An entry and the notice that it is committed are processed in one turn of the loop.
       Append append{1, last, {{{1, last.sequence + 1}, WritesOf(number)}}, last.sequence};
       run([&](Step& step) { replica.OnMessage(step, out, "a", append); });
       last = append.entries.front().position;
@@ -63,7 +63,7 @@
       });
       disk.Sync([&](const Result<void>& result) { syncs += result.has_value() ? 1 : 0; });
       loop.Run();
-      // The file as a crash at this moment leaves it.
+      // A copy of the file as a crash at this point would leave it.
       const auto copy = folder.path / "copy";
       std::filesystem::remove_all(copy);
       std::filesystem::remove_all(folder.path / "copy.damaged");
--- a/tests/tier/coordination/member_selection_test.cpp
+++ b/tests/tier/coordination/member_selection_test.cpp
@@ -1,5 +1,5 @@
-// Which disks the next record names.
-#define BOOST_TEST_MODULE coordination_choice
+// Selection of the disks that the next record names.
+#define BOOST_TEST_MODULE coordination_member_selection
 #include "tier/coordination/member_selection.h"
 
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 namespace shelflink::coordination {
 namespace {
 
-// "a1@x" is the disk a1 in zone x; its machine is its first letter.
+// "a1@x" is disk a1 in zone x. The first letter names the machine.
 CoreMember MemberOf(const std::string& text) {
   const std::string disk = text.substr(0, text.find('@'));
   const std::string zone = text.find('@') == std::string::npos ? disk : text.substr(text.find('@'));
@@ -24,17 +24,18 @@
   for (const CoreMember& member : members) disks += (disks.empty() ? "" : " ") + member.disk;
   return disks;
 }
-std::string Replicas(const std::vector<std::string>& staying,
+std::string Replicas(const std::vector<std::string>& responsive,
                      const std::vector<std::string>& silent,
-                     const std::vector<std::string>& joining) {
-  return TextOf(ChooseReplicas({MembersOf(staying), MembersOf(silent), MembersOf(joining), 2, 3}));
+                     const std::vector<std::string>& caught_up) {
+  return TextOf(
+      ChooseReplicas({MembersOf(responsive), MembersOf(silent), MembersOf(caught_up), 2, 3}));
 }
-std::string Witnesses(const std::vector<std::string>& present,
-                      const std::vector<std::string>& there, std::size_t failures = 1) {
-  return TextOf(ChooseWitnesses(MembersOf(present), MembersOf(there), failures));
+std::string Witnesses(const std::vector<std::string>& current,
+                      const std::vector<std::string>& responsive, std::size_t failures = 1) {
+  return TextOf(ChooseWitnesses(MembersOf(current), MembersOf(responsive), failures));
 }
 
-BOOST_AUTO_TEST_CASE(silent_replicas_leave_while_enough_remain) {
+BOOST_AUTO_TEST_CASE(silent_replicas_are_dropped_while_enough_remain) {
   BOOST_TEST(Replicas({"a", "b", "c"}, {}, {}) == "a b c");
   BOOST_TEST(Replicas({"a", "b"}, {"c"}, {}) == "a b");
   BOOST_TEST(Replicas({"a"}, {"b", "c"}, {}) == "a b");
@@ -43,13 +44,13 @@
   BOOST_TEST(Replicas({"a", "b", "c"}, {}, {"d"}) == "a b c");
 }
 
-BOOST_AUTO_TEST_CASE(newcomers_of_zones_not_covered_come_first) {
+BOOST_AUTO_TEST_CASE(new_replicas_of_uncovered_zones_come_first) {
   BOOST_TEST(Replicas({"a@x", "b@y"}, {}, {"c@x", "d@z"}) == "a b d");
   BOOST_TEST(Replicas({"a@x"}, {}, {"b@x", "c@y", "d@z"}) == "a c d");
   BOOST_TEST(Replicas({"a@x"}, {}, {"b@x", "c@x"}) == "a b c");
 }
 
-BOOST_AUTO_TEST_CASE(witnesses_are_odd_in_number_and_there_if_they_can_be) {
+BOOST_AUTO_TEST_CASE(witnesses_are_odd_in_number_and_responsive_if_possible) {
   BOOST_TEST(Witnesses({}, {"a"}) == "a");
   BOOST_TEST(Witnesses({}, {"a", "b"}, 0) == "a");
   BOOST_TEST(Witnesses({}, {"a", "b", "c", "d"}) == "a b c");
@@ -62,8 +63,8 @@
   BOOST_TEST(Witnesses({}, {"a", "b", "c", "d", "e", "f", "g", "h", "i"}) == "a b c d e f g");
 }
 
-// Half of them may be lost at one time: one witness alone would take all control with it.
-BOOST_AUTO_TEST_CASE(where_no_majority_outlives_the_losses_all_disks_are_witnesses) {
+// Half of the disks may be lost at once. With a single witness, its loss would block all elections.
+BOOST_AUTO_TEST_CASE(all_disks_are_witnesses_if_no_majority_survives_the_losses) {
   BOOST_TEST(Witnesses({}, {"a", "b"}) == "a b");
   BOOST_TEST(Witnesses({}, {"a", "b", "c", "d"}, 2) == "a b c d");
   BOOST_TEST(Witnesses({"a", "b", "c", "d"}, {"a", "b"}, 2) == "a b c d");
@@ -72,7 +73,7 @@
   BOOST_TEST(Witnesses({}, {"a", "b", "c", "d", "e", "f"}, 2) == "a b c d e");
 }
 
-BOOST_AUTO_TEST_CASE(a_disk_whose_machine_has_another_is_gone_for_good) {
+BOOST_AUTO_TEST_CASE(a_disk_replaced_on_its_machine_is_dropped) {
   BOOST_TEST(Witnesses({"a", "b", "c1"}, {"a", "b", "c2"}) == "a b c2");
   BOOST_TEST(Witnesses({"a", "b1", "c1"}, {"a", "c2"}) == "a c2 b1");
 }
--- a/tests/tier/coordination/messages_test.cpp
+++ b/tests/tier/coordination/messages_test.cpp
@@ -1,5 +1,5 @@
-// Messages over the wire: what is written is read, and damage of one message at a time is refused
-// or read as another message, never worse.
+// Encoding of messages. Messages survive a round trip; a damaged message is rejected or decoded as
+// another valid message.
 #define BOOST_TEST_MODULE coordination_messages
 #include "tier/coordination/messages.h"
 
@@ -37,7 +37,7 @@
           CatchUpReply{7, 11, false, {7, 9}, {{range, 1, 2, 3}}, {{range, {{"key", "value"}}}}}};
 }
 
-BOOST_AUTO_TEST_CASE(every_message_is_read_as_it_was_written) {
+BOOST_AUTO_TEST_CASE(every_message_survives_encoding_and_decoding) {
   for (const Message& message : OneOfEach()) {
     const std::string encoded = Encode(message);
     const auto decoded = DecodeMessage(encoded);
@@ -67,7 +67,7 @@
         mutated[at] = static_cast<char>(mutated[at] ^ change);
         const auto decoded = DecodeMessage(mutated);
         ++(decoded ? read : refused);
-        // What could be read can be written and read again.
+        // A message that was decoded can be encoded and decoded again.
         if (decoded) BOOST_TEST(DecodeMessage(Encode(*decoded)).has_value());
       }
     }
@@ -76,7 +76,7 @@
   BOOST_TEST(read > 1000U);
 }
 
-BOOST_AUTO_TEST_CASE(a_record_is_told_by_the_names_of_its_nodes) {
+BOOST_AUTO_TEST_CASE(a_record_is_described_by_its_node_names) {
   BOOST_TEST(DescriptionOf(SomeRecord()) ==
              "epoch 7, primary node-a, replicas node-a node-b, witnesses node-a node-b node-c");
   BOOST_TEST(DescriptionOf(Record()) == "epoch 0, primary none, replicas, witnesses");
@@ -92,7 +92,7 @@
   BOOST_TEST(std::get<Hello>(*decoded).number == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(entries_are_stored_as_they_were) {
+BOOST_AUTO_TEST_CASE(entries_survive_encoding_and_decoding) {
   const Entry entry{{7, 9}, {{"key", "value"}, {"gone", std::nullopt}}};
   const auto read = DecodeEntry(EncodeEntry(entry));
   BOOST_REQUIRE(read.has_value());
--- a/tests/tier/coordination/mutants.cmake
+++ b/tests/tier/coordination/mutants.cmake
@@ -72,17 +72,17 @@
   [=[  AddUpTo(chosen, candidates.silent, candidates.min_count);]=] "")
 coordination_mutant(a_witness_that_answers_is_taken_for_lost record.cpp
   [=[  if (FindDisk(base.witnesses, member.disk) != nullptr) return nullptr;]=] "")
-second_loss_mutant(as_many_disks_as_tolerated_are_lost_at_one_instant
+second_loss_mutant(the_tolerated_number_of_disks_is_lost_at_once
   witnesses_are_always_odd member_selection.cpp
   [=[  return odd || disks <= 2 * failures ? disks : disks - 1;]=]
   [=[  return odd ? disks : disks - 1;]=])
-second_loss_mutant(as_many_disks_as_tolerated_are_lost_at_one_instant
+second_loss_mutant(the_tolerated_number_of_disks_is_lost_at_once
   lost_witnesses_are_waited_for record.cpp
   [=[  return replaced > 0 && agreed + replaced >= base.witnesses.size();]=] [=[  return false;]=])
-second_loss_mutant(lost_witnesses_that_may_have_decided_alone_stop_the_rest
+second_loss_mutant(lost_witnesses_that_may_have_decided_alone_block_the_others
   lost_witnesses_cannot_have_decided record.cpp
   [=[  if (replaced >= Majority(base)) return false;  // They may have decided a record alone.]=] "")
-second_loss_mutant(nothing_leaves_before_enough_others_have_everything
+second_loss_mutant(a_machine_stays_until_enough_others_have_the_whole_map
   a_leaver_waits_for_nobody member_change.cpp
   [=[  if (FindDisk(record().replicas, options_.self.disk) == nullptr) {
     leaving_ = false;]=]
@@ -98,7 +98,7 @@
 # Large entries: leases and records go between their parts.
 tier_mutant(leases_wait_behind_entries coordination/group.cpp
   [=[{.urgent = !IsReplicationMessage(message)}]=] [=[{.urgent = false}]=]
-  TEST coordination/group_test RUN a_long_entry_on_its_way_costs_the_primary_no_lease
+  TEST coordination/group_test RUN a_large_entry_in_transit_does_not_cost_the_primary_its_lease
   LIBRARIES shelflink_tier_coordination shelflink_virtual)
 tier_mutant(what_is_on_its_way_is_sent_again coordination/replica_primary.cpp
   [=[  follower.sent_at = LeavesAt(step.now, bytes);]=] [=[  follower.sent_at = step.now;]=]
--- a/tests/tier/coordination/random_faults_test.cpp
+++ b/tests/tier/coordination/random_faults_test.cpp
@@ -1,9 +1,9 @@
-// Seeded runs of groups over real hubs on the virtual network: cuts, freezes, kills, losses of
-// power and of disks, replacements, while clients change one document and repeat what was not
-// answered.
+// Seeded random faults in groups over real hubs on the virtual network: network cuts, paused and
+// killed processes, loss of power and of disks, replacements. Meanwhile clients change one document
+// and repeat unanswered orders.
 //
-//   tier_coordination_storm_test [-- FIRST COUNT]
-#define BOOST_TEST_MODULE coordination_storm
+//   tier_random_faults_test [-- FIRST COUNT]
+#define BOOST_TEST_MODULE coordination_random_faults
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -15,12 +15,12 @@
 namespace shelflink::coordination {
 namespace {
 
-constexpr milliseconds kTick{10};
-constexpr milliseconds kAnswerWait{1000};
-// Within tolerance every order is acknowledged so soon after it was first sent.
-constexpr milliseconds kAcknowledgeWithin{3800};
+constexpr milliseconds kPollInterval{10};
+constexpr milliseconds kReplyTimeout{1000};
+// While no more faults occur than are tolerated, every order is acknowledged within this time.
+constexpr milliseconds kAcknowledgeTimeout{3800};
 
-// Sends one order after another, each to any machine until its fate is certain.
+// Sends one order after another. Each order is sent to random machines until its result is certain.
 class Client {
  public:
   Client(Cluster& cluster, History& history, std::uint64_t seed, std::string name)
@@ -29,27 +29,29 @@
   void Tick() {
     if (stopped_ && !order_) return;
     const net::Time now = cluster_.net.Now();
-    if (waits_ && now - asked_at_ < kAnswerWait) return;
-    if (!order_ && now < next_at_) return;
+    if (is_waiting_ && now - submitted_at_ < kReplyTimeout) return;
+    if (!order_ && now < next_order_at_) return;
     if (!order_) NewOrder(now);
-    Ask(now);
+    Submit(now);
   }
   void Stop() { stopped_ = true; }
   bool idle() const { return !order_; }
-  net::Span longest() const { return longest_; }
-  net::Span waiting() const { return order_ ? cluster_.net.Now() - first_at_ : net::Span{}; }
+  net::Span longest_wait() const { return longest_wait_; }
+  net::Span current_wait() const {
+    return order_ ? cluster_.net.Now() - order_started_at_ : net::Span{};
+  }
 
  private:
   void NewOrder(net::Time now) {
-    order_ = Order{history_.newest(), name_ + std::to_string(++orders_)};
-    first_at_ = now;
+    order_ = Order{history_.newest(), name_ + std::to_string(++order_count_)};
+    order_started_at_ = now;
   }
-  void Ask(net::Time now) {
+  void Submit(net::Time now) {
     Machine& machine = cluster_.At(random_.Below(cluster_.machines.size()));
     if (!machine.up() || machine.paused) return;
-    waits_ = true;
-    asked_at_ = now;
-    const std::uint64_t call = ++calls_;
+    is_waiting_ = true;
+    submitted_at_ = now;
+    const std::uint64_t call = ++submit_count_;
     const std::uint64_t least = history_.newest();
     auto seen = std::make_shared<Document>();
     machine.group().Submit(
@@ -58,88 +60,89 @@
           return PlanOf(order, contents);
         },
         [this, call, least, seen, order = *order_](const Result<void>& result) {
-          // An answer to an earlier try counts too: it went over the wire, only late.
+          // A late reply to an earlier attempt counts too.
           if (result.has_value()) history_.Acknowledged(order);
           const bool certain = result.has_value() || result.error().code == ErrorCode::kConflict;
-          if (certain) history_.Read(least, *seen);
-          if (call != calls_) return;
-          waits_ = false;
-          if (certain) Over();
+          if (certain) history_.CheckRead(least, *seen);
+          if (call != submit_count_) return;
+          is_waiting_ = false;
+          if (certain) FinishOrder();
         });
   }
-  void Over() {
-    longest_ = std::max(longest_, cluster_.net.Now() - first_at_);
+  void FinishOrder() {
+    longest_wait_ = std::max(longest_wait_, cluster_.net.Now() - order_started_at_);
     order_.reset();
-    next_at_ = cluster_.net.Now() + milliseconds(random_.Below(300));
+    next_order_at_ = cluster_.net.Now() + milliseconds(random_.Below(300));
   }
 
   Cluster& cluster_;
   History& history_;
   shelflab::Random random_;
   std::string name_;
-  std::uint64_t orders_ = 0;
-  std::uint64_t calls_ = 0;
+  std::uint64_t order_count_ = 0;
+  std::uint64_t submit_count_ = 0;
   std::optional<Order> order_;
-  bool waits_ = false;
+  bool is_waiting_ = false;
   bool stopped_ = false;
-  net::Time first_at_{};
-  net::Time next_at_{};
-  net::Time asked_at_{};
-  net::Span longest_{};
+  net::Time order_started_at_{};
+  net::Time next_order_at_{};
+  net::Time submitted_at_{};
+  net::Span longest_wait_{};
 };
 
-// What befalls one machine at a time, so that the core stays within its tolerance.
-class Storm {
+// Runs a cluster under random faults. By default one machine at a time is affected, which the core
+// tolerates; with one seed in four there are many faults at once.
+class RandomFaultRun {
  public:
-  explicit Storm(std::uint64_t seed, bool disks_refuse = false)
+  explicit RandomFaultRun(std::uint64_t seed, bool disk_faults = false)
       : random_(seed),
         cluster_(SizeOf(seed), seed),
-        hard_(seed % 4 == 3),
-        disks_refuse_(disks_refuse) {
+        many_faults_(seed % 4 == 3),
+        disk_faults_(disk_faults) {
     net::Weather weather;
     weather.latency_high = milliseconds(1 + static_cast<int>(random_.Below(4)));
     weather.reset = random_.Below(3) == 0 ? 0.002 : 0;
     cluster_.net.SetWeather(weather);
-    for (std::size_t i = 0; i < cluster_.machines.size(); ++i) Watch(i);
+    for (std::size_t i = 0; i < cluster_.machines.size(); ++i) Observe(i);
     for (std::uint64_t i = 0; i < 2; ++i) {
       clients_.push_back(
           std::make_unique<Client>(cluster_, history_, seed * 31 + i, i == 0 ? "a" : "b"));
     }
   }
 
-  void Play() {
+  void Execute() {
     cluster_.StartAll();
-    For(seconds(3));
+    RunFor(seconds(3));
     for (int round = 0; round < 5; ++round) {
-      if (hard_) {
-        Beyond();
-      } else if (disks_refuse_ && random_.Below(2) == 0) {
-        OneDiskRefuses();
+      if (many_faults_) {
+        InjectManyFaults();
+      } else if (disk_faults_ && random_.Below(2) == 0) {
+        InjectDiskFault();
       } else {
-        Within();
+        InjectOneFault();
       }
     }
     for (auto& client : clients_) client->Stop();
-    For(seconds(6));
+    RunFor(seconds(6));
     if (Machine* const primary = cluster_.Primary()) {
-      history_.AtTheEnd(DocumentIn(primary->group().contents()));
+      history_.CheckFinalState(DocumentIn(primary->group().contents()));
     } else {
-      Fail("no primary at the end");
+      AddFailure("no primary at the end");
     }
-    if (history_.acknowledged() < 20) Fail("hardly anything was acknowledged");
+    if (history_.acknowledged() < 20) AddFailure("fewer than 20 orders were acknowledged");
   }
   std::vector<std::string> Findings() const {
     std::vector<std::string> all = history_.findings();
     all.insert(all.end(), failures_.begin(), failures_.end());
     return all;
   }
-  net::Span longest() const { return longest_; }
+  net::Span longest_wait() const { return longest_wait_; }
   std::size_t acknowledged() const { return history_.acknowledged(); }
 
  private:
   static std::size_t SizeOf(std::uint64_t seed) { return 3 + seed % 2 + (seed % 16 == 7 ? 1 : 0); }
 
-  void Watch(std::size_t index) {
+  void Observe(std::size_t index) {
     Machine& machine = cluster_.At(index);
     machine.committed = [this, index](const std::vector<Write>& writes) {
       for (const Write& write : writes) {
@@ -152,31 +155,33 @@
     };
   }
   std::string NameOf(std::size_t index) {
-    return std::to_string(index) + "/" + std::to_string(cluster_.At(index).lives());
+    return std::to_string(index) + "/" + std::to_string(cluster_.At(index).start_count());
   }
-  void Fail(const std::string& text) {
+  void AddFailure(const std::string& text) {
     if (failures_.size() < 10) failures_.push_back(text);
   }
 
-  void For(net::Span span) {
+  void RunFor(net::Span span) {
     const net::Time until = cluster_.net.Now() + span;
     while (cluster_.net.Now() < until) {
-      cluster_.Run(kTick);
+      cluster_.Run(kPollInterval);
       std::size_t primaries = 0;
       for (auto& machine : cluster_.machines) {
         primaries += machine->up() && machine->group().is_primary() ? 1 : 0;
       }
-      history_.PrimariesAtOnce(primaries);
+      history_.CheckPrimaryCount(primaries);
       for (auto& client : clients_) {
         client->Tick();
-        if (hard_) continue;
-        longest_ = std::max(longest_, std::max(client->waiting(), client->longest()));
-        if (client->waiting() > kAcknowledgeWithin) Fail("an order waits for too long");
+        if (many_faults_) continue;
+        longest_wait_ =
+            std::max(longest_wait_, std::max(client->current_wait(), client->longest_wait()));
+        if (client->current_wait() > kAcknowledgeTimeout)
+          AddFailure("an order was not acknowledged in time");
       }
     }
   }
 
-  Machine& Victim() {
+  Machine& PickMachine() {
     Machine* const primary = cluster_.Primary();
     if (primary != nullptr && random_.Below(2) == 0) return *primary;
     return cluster_.At(random_.Below(cluster_.machines.size()));
@@ -184,114 +189,114 @@
   void Restart(Machine& machine) {
     if (!machine.up()) machine.Start(false);
   }
-  std::size_t Kept() { return random_.Below(4); }
+  std::size_t DrawKeptBatches() { return random_.Below(4); }
 
-  void Within() {
-    Machine& victim = Victim();
-    const net::Span trouble = milliseconds(200 + static_cast<int>(random_.Below(4000)));
+  void InjectOneFault() {
+    Machine& target = PickMachine();
+    const net::Span duration = milliseconds(200 + static_cast<int>(random_.Below(4000)));
     const auto kind = random_.Below(8);
     if (getenv("TRACE"))
       fprintf(stderr, "%.3f FAULT %lu on node-%u for %ld\n",
               double(cluster_.net.Now().time_since_epoch().count()) / 1e9, kind,
-              victim.host() & 255, long(trouble / milliseconds(1)));
+              target.host() & 255, long(duration / milliseconds(1)));
     switch (kind) {
       case 0:
-        victim.Stop(Kept());
-        For(trouble);
-        Restart(victim);
+        target.Stop(DrawKeptBatches());
+        RunFor(duration);
+        Restart(target);
         break;
       case 1:
-        victim.Wipe();
-        For(trouble);
-        Restart(victim);
+        target.Wipe();
+        RunFor(duration);
+        Restart(target);
         break;
       case 2:
-        victim.SetPaused(true);
-        For(trouble);
-        victim.SetPaused(false);
+        target.SetPaused(true);
+        RunFor(duration);
+        target.SetPaused(false);
         break;
       case 3:
-        cluster_.net.SetCutOff(victim.host(), true);
-        For(trouble);
-        cluster_.net.SetCutOff(victim.host(), false);
+        cluster_.net.SetCutOff(target.host(), true);
+        RunFor(duration);
+        cluster_.net.SetCutOff(target.host(), false);
         break;
       case 4: {
-        Machine& other = cluster_.Other(victim, random_.Below(cluster_.machines.size() - 1));
-        cluster_.net.SetCut(victim.host(), other.host(), true);
-        For(trouble);
-        cluster_.net.SetCut(victim.host(), other.host(), false);
+        Machine& other = cluster_.Other(target, random_.Below(cluster_.machines.size() - 1));
+        cluster_.net.SetCut(target.host(), other.host(), true);
+        RunFor(duration);
+        cluster_.net.SetCut(target.host(), other.host(), false);
         break;
       }
-      case 5: {  // All processes at once; they return within a second.
-        for (auto& machine : cluster_.machines) machine->Stop(Kept());
-        For(milliseconds(random_.Below(1000)));
+      case 5: {  // All processes are killed at once and restart within a second.
+        for (auto& machine : cluster_.machines) machine->Stop(DrawKeptBatches());
+        RunFor(milliseconds(random_.Below(1000)));
         for (auto& machine : cluster_.machines) machine->Start(false);
         break;
       }
-      case 6:  // A planned end.
-        victim.group().Transfer([](bool) {});
-        For(milliseconds(300));
-        victim.Stop(Kept());
-        For(trouble);
-        Restart(victim);
+      case 6:  // Planned shutdown.
+        target.group().Transfer([](bool) {});
+        RunFor(milliseconds(300));
+        target.Stop(DrawKeptBatches());
+        RunFor(duration);
+        Restart(target);
         break;
-      default:  // The disk does not end its syncs.
-        victim.disk.SetStalled(true);
-        For(trouble);
-        victim.disk.SetStalled(false);
+      default:  // Syncs of the disk do not complete.
+        target.disk.SetStalled(true);
+        RunFor(duration);
+        target.disk.SetStalled(false);
         break;
     }
-    For(milliseconds(5200));
+    RunFor(milliseconds(5200));
   }
 
-  // Full for a while, or one of its next writes fails, once or a few times.
-  void OneDiskRefuses() {
-    Machine& victim = Victim();
-    const net::Span trouble = milliseconds(200 + static_cast<int>(random_.Below(4000)));
-    victim.disk.SetKeptOnFailure(Kept());
+  // The disk is full for some time, or one of its next writes fails once or a few times.
+  void InjectDiskFault() {
+    Machine& target = PickMachine();
+    const net::Span duration = milliseconds(200 + static_cast<int>(random_.Below(4000)));
+    target.disk.SetKeptOnFailure(DrawKeptBatches());
     if (random_.Below(2) == 0) {
-      victim.disk.SetFull(true);
+      target.disk.SetFull(true);
     } else {
       static constexpr storage::Failure kFailures[] = {
           storage::Failure::kFull, storage::Failure::kTransient, storage::Failure::kDamaged,
           storage::Failure::kFatal};
-      victim.disk.FailFrom(1 + random_.Below(12), 1 + random_.Below(4),
+      target.disk.FailFrom(1 + random_.Below(12), 1 + random_.Below(4),
                            kFailures[random_.Below(4)]);
     }
-    For(trouble);
-    victim.disk.SetFull(false);
-    victim.disk.FailFrom(1, 0, storage::Failure::kNone);
-    For(milliseconds(5200));
+    RunFor(duration);
+    target.disk.SetFull(false);
+    target.disk.FailFrom(1, 0, storage::Failure::kNone);
+    RunFor(milliseconds(5200));
   }
 
-  // Anything at any time, but no disk is lost: nothing acknowledged may be either.
-  void Beyond() {
+  // Any number of faults at any time, but no disk is lost, so no acknowledged write may be lost.
+  void InjectManyFaults() {
     for (int i = 0; i < 6; ++i) {
-      Machine& victim = Victim();
-      if (disks_refuse_ && random_.Below(2) == 0) {
-        victim.disk.SetKeptOnFailure(Kept());
-        victim.disk.SetFull(random_.Below(2) == 0);
+      Machine& target = PickMachine();
+      if (disk_faults_ && random_.Below(2) == 0) {
+        target.disk.SetKeptOnFailure(DrawKeptBatches());
+        target.disk.SetFull(random_.Below(2) == 0);
       }
       switch (random_.Below(6)) {
         case 0:
-          victim.Stop(Kept());
+          target.Stop(DrawKeptBatches());
           break;
         case 1:
-          Restart(victim);
+          Restart(target);
           break;
         case 2:
-          victim.SetPaused(random_.Below(2) == 0);
+          target.SetPaused(random_.Below(2) == 0);
           break;
         case 3:
-          cluster_.net.SetCutOff(victim.host(), random_.Below(2) == 0);
+          cluster_.net.SetCutOff(target.host(), random_.Below(2) == 0);
           break;
         default: {
-          Machine& other = cluster_.Other(victim, random_.Below(cluster_.machines.size() - 1));
-          cluster_.net.SetCut(victim.host(), other.host(), random_.Below(2) == 0);
+          Machine& other = cluster_.Other(target, random_.Below(cluster_.machines.size() - 1));
+          cluster_.net.SetCut(target.host(), other.host(), random_.Below(2) == 0);
           break;
         }
       }
-      For(milliseconds(random_.Below(1500)));
+      RunFor(milliseconds(random_.Below(1500)));
     }
     for (auto& machine : cluster_.machines) {
       machine->SetPaused(false);
@@ -302,48 +307,48 @@
       }
       Restart(*machine);
     }
-    For(seconds(6));
-    if (cluster_.Primary() == nullptr) Fail("no primary 6 s after all has healed");
+    RunFor(seconds(6));
+    if (cluster_.Primary() == nullptr) AddFailure("no primary 6 s after all faults ended");
   }
 
   shelflab::Random random_;
   Cluster cluster_;
-  bool hard_;
-  bool disks_refuse_;
+  bool many_faults_;
+  bool disk_faults_;
   History history_;
   std::vector<std::unique_ptr<Client>> clients_;
   std::vector<std::string> failures_;
-  net::Span longest_{};
+  net::Span longest_wait_{};
 };
 
-std::uint64_t Argument(int index, std::uint64_t otherwise) {
+std::uint64_t Argument(int index, std::uint64_t default_value) {
   const auto& suite = boost::unit_test::framework::master_test_suite();
-  return suite.argc > index ? std::strtoull(suite.argv[index], nullptr, 10) : otherwise;
+  return suite.argc > index ? std::strtoull(suite.argv[index], nullptr, 10) : default_value;
 }
 
-void PlaySeeds(std::uint64_t first, std::uint64_t count, bool disks_refuse) {
+void RunSeeds(std::uint64_t first, std::uint64_t count, bool disk_faults) {
   net::Span longest{};
   std::size_t acknowledged = 0;
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
-    Storm storm(seed, disks_refuse);
-    storm.Play();
-    for (const std::string& finding : storm.Findings()) {
+    RandomFaultRun run(seed, disk_faults);
+    run.Execute();
+    for (const std::string& finding : run.Findings()) {
       BOOST_ERROR("seed " << seed << ": " << finding);
     }
-    longest = std::max(longest, storm.longest());
-    acknowledged += storm.acknowledged();
+    longest = std::max(longest, run.longest_wait());
+    acknowledged += run.acknowledged();
   }
   std::cout << count << " seeds, " << acknowledged
             << " orders acknowledged, the longest within tolerance after "
             << longest / milliseconds(1) << " ms\n";
 }
 
-BOOST_AUTO_TEST_CASE(promises_hold_over_many_seeds) {
-  PlaySeeds(Argument(1, 1), Argument(2, 120), false);
+BOOST_AUTO_TEST_CASE(guarantees_hold_for_many_seeds) {
+  RunSeeds(Argument(1, 1), Argument(2, 120), false);
 }
 
-BOOST_AUTO_TEST_CASE(promises_hold_over_many_seeds_where_disks_refuse) {
-  PlaySeeds(Argument(1, 1), Argument(2, 120), true);
+BOOST_AUTO_TEST_CASE(guarantees_hold_for_many_seeds_with_disk_faults) {
+  RunSeeds(Argument(1, 1), Argument(2, 120), true);
 }
 
 }  // namespace
--- a/tests/tier/coordination/world.cpp
+++ b/tests/tier/coordination/world.cpp
@@ -229,7 +229,7 @@
   const std::uint64_t least = history.newest();
   const Document document = DocumentAt(node);
   const auto plan = PlanOf(order, {{kDocumentKey, TextOf(document)}});
-  if (plan.has_error() || plan.value().empty()) history.Read(least, document);
+  if (plan.has_error() || plan.value().empty()) history.CheckRead(least, document);
   if (plan.has_error()) {
     history.Refused(order);
     return;
@@ -268,7 +268,7 @@
   for (const Node& node : nodes) {
     if (node.member && node.member->primary() && node.member->HasLease(now)) ++primaries;
   }
-  history.PrimariesAtOnce(primaries);
+  history.CheckPrimaryCount(primaries);
 }
 
 void World::Run(net::Span span, const Trouble& trouble) {
@@ -310,7 +310,7 @@
     const auto primary = Primary();
     if (primary && !(trouble.still && trouble.still(*primary))) {
       if (DocumentAt(*primary).version > orders[client].base) {
-        history.Read(history.newest(), DocumentAt(*primary));
+        history.CheckRead(history.newest(), DocumentAt(*primary));
         orders[client].base = DocumentAt(*primary).version;
       }
       Submit(*primary, client);
