--- a/src/tier/cluster/core_program.cpp
+++ b/src/tier/cluster/core_program.cpp
@@ -87,7 +87,7 @@
   GroupFigures figures;
   figures.is_primary = group.is_primary();
   figures.knows_primary = group.primary().has_value();
-  figures.epoch = record.number;
+  figures.epoch = record.epoch;
   figures.replicas = NodesOf(record.replicas);
   figures.witnesses = NodesOf(record.witnesses);
   AddPrimary(record, settings, figures);
--- a/src/tier/coordination/group.cpp
+++ b/src/tier/coordination/group.cpp
@@ -155,7 +155,7 @@
 }
 
 std::uint64_t Group::epoch() const {
-  return member_->primary() ? member_->epoch() : member_->record().number;
+  return member_->primary() ? member_->epoch() : member_->record().epoch;
 }
 
 std::optional<net::Address> Group::primary() const { return member_->primary_address(); }
@@ -214,7 +214,7 @@
 // The state of the member in memory may be ahead of the disk, so the member is discarded. Messages
 // of the step that met the failure are not sent.
 void Group::OnDiskFailure() {
-  const std::uint64_t epoch = member_ ? member_->record().number : 0;
+  const std::uint64_t epoch = member_ ? member_->record().epoch : 0;
   log::Bounded(log::Level::kError, kModule, "refuses",
                std::string("the disk refuses writes (") + storage::NameOf(storage_->failure()) +
                    "): " + storage_->failure_text() +
@@ -366,15 +366,15 @@
   std::string nodes;
   for (const CoreMember& replica : member_->record().replicas) nodes += " " + replica.node;
   log::Bounded(log::Level::kWarning, kModule, "stuck",
-               "no primary: epoch " + std::to_string(member_->record().number) +
+               "no primary: epoch " + std::to_string(member_->record().epoch) +
                    " needs one of its replicas and a majority of its witnesses; replicas:" + nodes,
                SteadyMicros(now));
 }
 
 void Group::LogIfRecordChanged() {
   const Record& record = member_->record();
-  if (record.number == logged_record_) return;
-  logged_record_ = record.number;
+  if (record.epoch == logged_epoch_) return;
+  logged_epoch_ = record.epoch;
   log::Info(kModule, "record: " + DescriptionOf(record));
 }
 
@@ -556,7 +556,7 @@
 
 bool Group::MayHoldReplica() const {
   const Record& record = member_->record();
-  if (record.number == 0 || identity_.empty()) return true;
+  if (record.epoch == 0 || identity_.empty()) return true;
   return FindDisk(record.replicas, identity_) != nullptr;
 }
 
--- a/src/tier/coordination/group.h
+++ b/src/tier/coordination/group.h
@@ -154,7 +154,7 @@
   bool in_step_ = false;  // A step or the processing of its output is in progress.
   bool reported_primary_ = false;
   std::size_t reported_replicas_ = 0;  // Responsive replicas last reported, if this is the primary.
-  std::uint64_t logged_record_ = 0;    // Number of the record that was logged last.
+  std::uint64_t logged_epoch_ = 0;     // Epoch of the record that was logged last.
   std::function<void(bool)> transfer_done_;
   bool transfer_started_ = false;
   net::Time transfer_since_{};
--- a/src/tier/coordination/member.cpp
+++ b/src/tier/coordination/member.cpp
@@ -19,7 +19,7 @@
       random_(options_.incarnation | 1U) {}
 
 void Member::Start(Step& step, MemberOutput& out) {
-  if (has_disk() && options_.found && record().number == 0 && !witness_.is_founder()) {
+  if (has_disk() && options_.found && record().epoch == 0 && !witness_.is_founder()) {
     std::vector<CoreMember> seeds;
     for (const net::Address& seed : options_.seeds) seeds.push_back({"", "", "", seed});
     witness_.Bootstrap(step, std::move(seeds));
@@ -28,10 +28,10 @@
   if (options_.after_failure) place_lost_at_ = step.now;
   AwaitPrimary(step.now);
   hello_at_ = step.now;
-  if (record().number > 0) {
+  if (record().epoch > 0) {
     ReplicaOutput replica_out;
     replica_.Assign(step, replica_out,
-                    {record().number, record().primary, DisksOf(record().replicas)}, false);
+                    {record().epoch, record().primary, DisksOf(record().replicas)}, false);
     // Its own lease cannot stand in its way; a newer record may be told first.
     const bool was_primary = IsSelf(record().primary);
     if (was_primary && !options_.after_failure) election_at_ = step.now + options_.lease / 20;
@@ -94,7 +94,7 @@
   } else {
     if (step.now >= hello_at_) {
       SayHello(out, false);
-      hello_at_ = step.now + options_.lease / (record().number == 0 ? 5 : 2);
+      hello_at_ = step.now + options_.lease / (record().epoch == 0 ? 5 : 2);
     }
     if (!proposal_ && MayCampaign() && step.now >= election_at_) {
       StartProposal(step, out, std::nullopt);
--- a/src/tier/coordination/member_change.cpp
+++ b/src/tier/coordination/member_change.cpp
@@ -74,7 +74,7 @@
   }
   PutLikeliestFirst(situation.silent, now);
   Record next = record();
-  ++next.number;
+  ++next.epoch;
   next.primary = options_.self.disk;
   next.incarnation = options_.incarnation;
   next.replicas = ChooseReplicas(situation);
@@ -166,7 +166,7 @@
   }
   if (target == nullptr) return std::nullopt;
   Record next = record();
-  ++next.number;
+  ++next.epoch;
   next.primary = target->member.disk;
   next.incarnation = target->incarnation;
   std::vector<CoreMember> others;
--- a/src/tier/coordination/member_election.cpp
+++ b/src/tier/coordination/member_election.cpp
@@ -7,7 +7,7 @@
 
 void Member::On(Step& step, MemberOutput& out, const Sender& from, const Prepare& message) {
   Adopt(step, out, message.base);
-  if (message.base.number < record().number) {
+  if (message.base.epoch < record().epoch) {
     Send(out, from.member.address, Decided{record()});
     return;
   }
@@ -17,7 +17,7 @@
 
 void Member::On(Step& step, MemberOutput& out, const Sender& from, const Accept& message) {
   Adopt(step, out, message.base);
-  if (message.base.number < record().number) {
+  if (message.base.epoch < record().epoch) {
     Send(out, from.member.address, Decided{record()});
     return;
   }
@@ -43,7 +43,7 @@
 
 bool Member::MayCampaign() const {
   if (!has_disk() || acting_ || !replica_.complete()) return false;
-  if (record().number > 0) return FindDisk(record().replicas, options_.self.disk) != nullptr;
+  if (record().epoch > 0) return FindDisk(record().replicas, options_.self.disk) != nullptr;
   return witness_.is_founder() && IsWitnessOf(record(), options_.self);
 }
 
@@ -131,7 +131,7 @@
 void Member::ProposeValue(Step& step, MemberOutput& out) {
   Proposer& proposer = proposal_->proposer;
   std::optional<Record> own = proposal_->planned;
-  if (!own) own = record().number == 0 ? FoundingRecord(step.now) : ElectionRecord(step.now);
+  if (!own) own = record().epoch == 0 ? FoundingRecord(step.now) : ElectionRecord(step.now);
   // Since it was planned, others may have come and gone.
   if (acting_ && !transferring_) own = Improved(step.now);
   if (!own && !proposer.earlier_value()) {
@@ -174,7 +174,7 @@
   }
   const auto spread = SpreadOverZones({options_.self}, others, most_replicas() - 1);
   Record founding;
-  founding.number = 1;
+  founding.epoch = 1;
   founding.primary = options_.self.disk;
   founding.incarnation = options_.incarnation;
   founding.replicas = {options_.self};
@@ -196,7 +196,7 @@
   }
   PutLikeliestFirst(situation.silent, now);
   Record next = record();
-  ++next.number;
+  ++next.epoch;
   next.primary = options_.self.disk;
   next.incarnation = options_.incarnation;
   next.replicas = ChooseReplicas(situation);
@@ -220,7 +220,7 @@
   // Entries of an epoch that a replica does not know yet would be lost on it.
   if (acting_) Announce(out, before, record);
   ReplicaOutput replica_out;
-  replica_.Assign(step, replica_out, {record.number, record.primary, DisksOf(record.replicas)},
+  replica_.Assign(step, replica_out, {record.epoch, record.primary, DisksOf(record.replicas)},
                   acting_);
   Take(out, std::move(replica_out));
   AwaitPrimary(step.now);
--- a/src/tier/coordination/member_lease.cpp
+++ b/src/tier/coordination/member_lease.cpp
@@ -51,8 +51,8 @@
     return;
   }
   if (!replica_.Serving()) return;
-  if (told_role_.primary && told_role_.epoch == record().number) return;
-  told_role_ = {true, record().number};
+  if (told_role_.primary && told_role_.epoch == record().epoch) return;
+  told_role_ = {true, record().epoch};
   out.roles.push_back(told_role_);
 }
 
@@ -84,7 +84,7 @@
   }
   const std::vector<CoreMember> members = MembersOf(record());
   Renew renew;
-  renew.number = record().number;
+  renew.epoch = record().epoch;
   renew.token = TokenOf(step.now);
   for (const net::Address& address : OthersKnown()) {
     const auto found = peers_.find(address.Text());
@@ -103,18 +103,17 @@
 }
 
 void Member::On(Step& step, MemberOutput& out, const Sender& from, const Renew& message) {
-  if (message.number < record().number) {
+  if (message.epoch < record().epoch) {
     Send(out, from.member.address, Decided{record()});
     return;
   }
   RenewReply reply;
-  reply.number = record().number;
+  reply.epoch = record().epoch;
   reply.token = message.token;
-  const bool by_primary = message.number == record().number &&
-                          from.member.disk == record().primary &&
+  const bool by_primary = message.epoch == record().epoch && from.member.disk == record().primary &&
                           from.incarnation == record().incarnation;
   if (by_primary) {
-    reply.granted = has_disk() && witness_.GrantLease(step.now, from.member.disk, message.number);
+    reply.granted = has_disk() && witness_.GrantLease(step.now, from.member.disk, message.epoch);
     if (!acting_) AwaitPrimary(step.now);
     if (message.invite && has_disk()) {
       ReplicaOutput replica_out;
@@ -127,12 +126,12 @@
 
 void Member::On(Step& step, MemberOutput& out, const Sender& from, const RenewReply& message) {
   if (!acting_) return;
-  if (message.number < record().number) {
+  if (message.epoch < record().epoch) {
     Send(out, from.member.address, Decided{record()});
     renew_at_ = step.now;
     return;
   }
-  if (message.number != record().number) return;
+  if (message.epoch != record().epoch) return;
   const net::Time sent_at = TimeOfToken(message.token);
   if (sent_at > step.now) return;
   Peer& peer = PeerOf(from.member);
--- a/src/tier/coordination/member_peers.cpp
+++ b/src/tier/coordination/member_peers.cpp
@@ -130,16 +130,16 @@
   std::set<net::Address> to = OthersKnown();
   to.insert(options_.seeds.begin(), options_.seeds.end());
   to.erase(options_.self.address);
-  const bool fresh = has_disk() && record().number == 0 && witness_.is_founder();
-  for (const net::Address& address : to) Send(out, address, Hello{record().number, fresh, answer});
+  const bool fresh = has_disk() && record().epoch == 0 && witness_.is_founder();
+  for (const net::Address& address : to) Send(out, address, Hello{record().epoch, fresh, answer});
 }
 
 void Member::On(Step&, MemberOutput& out, const Sender& from, const Hello& message) {
   PeerOf(from.member).fresh = message.fresh;
-  if (message.number < record().number) {
+  if (message.epoch < record().epoch) {
     Send(out, from.member.address, Decided{record()});
-  } else if (message.wants_reply || message.number > record().number) {
-    Send(out, from.member.address, Hello{record().number, false, false});
+  } else if (message.wants_reply || message.epoch > record().epoch) {
+    Send(out, from.member.address, Hello{record().epoch, false, false});
   }
 }
 
--- a/src/tier/coordination/messages.cpp
+++ b/src/tier/coordination/messages.cpp
@@ -145,7 +145,7 @@
 }
 
 void WriteFields(Writer& out, const PrepareReply& m) {
-  out.Uint(m.number);
+  out.Uint(m.epoch);
   Put(out, m.ballot);
   out.Bool(m.promised);
   Put(out, m.blocking);
@@ -154,7 +154,7 @@
   WriteOptional(out, m.value);
 }
 void ReadFields(Reader& in, PrepareReply& m) {
-  m.number = in.Uint();
+  m.epoch = in.Uint();
   m.ballot = ReadBallot(in);
   m.promised = in.Bool();
   m.blocking = ReadBallot(in);
@@ -175,14 +175,14 @@
 }
 
 void WriteFields(Writer& out, const AcceptReply& m) {
-  out.Uint(m.number);
+  out.Uint(m.epoch);
   Put(out, m.ballot);
   out.Bool(m.accepted);
   Put(out, m.blocking);
   out.Uint(m.lease_remaining_ms);
 }
 void ReadFields(Reader& in, AcceptReply& m) {
-  m.number = in.Uint();
+  m.epoch = in.Uint();
   m.ballot = ReadBallot(in);
   m.accepted = in.Bool();
   m.blocking = ReadBallot(in);
@@ -192,27 +192,27 @@
 void WriteFields(Writer& out, const Decided& m) { Put(out, m.record); }
 void ReadFields(Reader& in, Decided& m) { m.record = ReadRecord(in); }
 
-void WriteFields(Writer& out, const Renew& m) { out.Uint(m.number).Uint(m.token).Bool(m.invite); }
+void WriteFields(Writer& out, const Renew& m) { out.Uint(m.epoch).Uint(m.token).Bool(m.invite); }
 void ReadFields(Reader& in, Renew& m) {
-  m.number = in.Uint();
+  m.epoch = in.Uint();
   m.token = in.Uint();
   m.invite = in.Bool();
 }
 
 void WriteFields(Writer& out, const RenewReply& m) {
-  out.Uint(m.number).Uint(m.token).Bool(m.granted);
+  out.Uint(m.epoch).Uint(m.token).Bool(m.granted);
 }
 void ReadFields(Reader& in, RenewReply& m) {
-  m.number = in.Uint();
+  m.epoch = in.Uint();
   m.token = in.Uint();
   m.granted = in.Bool();
 }
 
 void WriteFields(Writer& out, const Hello& m) {
-  out.Uint(m.number).Bool(m.fresh).Bool(m.wants_reply);
+  out.Uint(m.epoch).Bool(m.fresh).Bool(m.wants_reply);
 }
 void ReadFields(Reader& in, Hello& m) {
-  m.number = in.Uint();
+  m.epoch = in.Uint();
   m.fresh = in.Bool();
   m.wants_reply = in.Bool();
 }
--- a/src/tier/coordination/messages.h
+++ b/src/tier/coordination/messages.h
@@ -21,7 +21,7 @@
   Ballot ballot;
 };
 struct PrepareReply {
-  std::uint64_t number = 0;  // Number of the record to be decided.
+  std::uint64_t epoch = 0;  // Epoch of the record to be decided.
   Ballot ballot;
   bool promised = false;
   Ballot blocking;                       // If refused because of a higher ballot: that ballot.
@@ -35,7 +35,7 @@
   Record value;
 };
 struct AcceptReply {
-  std::uint64_t number = 0;
+  std::uint64_t epoch = 0;
   Ballot ballot;
   bool accepted = false;
   Ballot blocking;
@@ -49,19 +49,19 @@
 
 // Lease renewal, sent by the primary several times per lease.
 struct Renew {
-  std::uint64_t number = 0;
+  std::uint64_t epoch = 0;
   std::uint64_t token = 0;  // Send time, echoed in the reply.
   bool invite = false;      // Asks the receiver to catch up so that it can become a replica.
 };
 struct RenewReply {
-  std::uint64_t number = 0;
+  std::uint64_t epoch = 0;
   std::uint64_t token = 0;
   bool granted = false;
 };
 // Sent by a member that knows no primary or has just started. A receiver that knows a newer record
 // replies with Decided.
 struct Hello {
-  std::uint64_t number = 0;
+  std::uint64_t epoch = 0;
   bool fresh = false;        // The sender is a founding member without a record.
   bool wants_reply = false;  // Asks the receiver to reply, to show that it is running.
 };
--- a/src/tier/coordination/proposer.cpp
+++ b/src/tier/coordination/proposer.cpp
@@ -16,7 +16,7 @@
 
 void Proposer::OnReply(const CoreMember& from, const PrepareReply& reply) {
   if (phase_ != Phase::kPreparing && phase_ != Phase::kPrepared) return;
-  if (reply.number != base_.number + 1 || reply.ballot != ballot_) return;
+  if (reply.epoch != base_.epoch + 1 || reply.ballot != ballot_) return;
   if (const CoreMember* const replaced = ReplacedWitness(base_, from)) {
     replaced_disks_.insert(replaced->disk);
   } else if (!CountReply(from, reply.promised, reply.blocking, reply.lease_remaining_ms) ||
@@ -41,13 +41,13 @@
 
 void Proposer::OnReply(const CoreMember& from, const AcceptReply& reply) {
   if (phase_ != Phase::kAccepting) return;
-  if (reply.number != base_.number + 1 || reply.ballot != ballot_) return;
+  if (reply.epoch != base_.epoch + 1 || reply.ballot != ballot_) return;
   if (!CountReply(from, reply.accepted, reply.blocking, reply.lease_remaining_ms)) return;
   if (HasQuorum()) phase_ = Phase::kDecided;
 }
 
 void Proposer::Fingerprint(cbor::Writer& out) const {
-  out.Uint(base_.number).Uint(static_cast<std::uint64_t>(phase_));
+  out.Uint(base_.epoch).Uint(static_cast<std::uint64_t>(phase_));
   Put(out, ballot_);
   for (const std::string& key : replied_) out.Text(key);
   for (const std::string& disk : replaced_disks_) out.Text(disk);
--- a/src/tier/coordination/proposer.h
+++ b/src/tier/coordination/proposer.h
@@ -54,7 +54,7 @@
  private:
   // Witnesses of record 0 are identified by address, those of later records by disk.
   std::string Key(const CoreMember& member) const {
-    return base_.number == 0 ? member.address.Text() : member.disk;
+    return base_.epoch == 0 ? member.address.Text() : member.disk;
   }
   bool HasQuorum() const { return IsQuorum(base_, agreed_, replaced_disks_.size()); }
   // Counts a reply. Returns false if `from` is no witness or has already replied in this phase.
--- a/src/tier/coordination/record.cpp
+++ b/src/tier/coordination/record.cpp
@@ -32,7 +32,7 @@
 }
 
 bool IsWitnessOf(const Record& base, const CoreMember& member) {
-  if (base.number > 0) return FindDisk(base.witnesses, member.disk) != nullptr;
+  if (base.epoch > 0) return FindDisk(base.witnesses, member.disk) != nullptr;
   return std::any_of(base.witnesses.begin(), base.witnesses.end(),
                      [&](const CoreMember& seed) { return seed.address == member.address; });
 }
@@ -46,7 +46,7 @@
 }
 
 const CoreMember* ReplacedWitness(const Record& base, const CoreMember& member) {
-  if (base.number == 0 || member.disk.empty()) return nullptr;
+  if (base.epoch == 0 || member.disk.empty()) return nullptr;
   if (FindDisk(base.witnesses, member.disk) != nullptr) return nullptr;
   const auto found =
       std::find_if(base.witnesses.begin(), base.witnesses.end(),
@@ -57,7 +57,7 @@
 std::vector<CoreMember> MembersOf(const Record& record) {
   std::vector<CoreMember> members = record.replicas;
   for (const CoreMember& witness : record.witnesses) {
-    if (record.number == 0 || FindDisk(members, witness.disk) == nullptr) {
+    if (record.epoch == 0 || FindDisk(members, witness.disk) == nullptr) {
       members.push_back(witness);
     }
   }
@@ -73,7 +73,7 @@
 
 std::string DescriptionOf(const Record& record) {
   const CoreMember* primary = FindDisk(record.replicas, record.primary);
-  return "epoch " + std::to_string(record.number) + ", primary " +
+  return "epoch " + std::to_string(record.epoch) + ", primary " +
          (primary == nullptr ? "none" : primary->node) + ", replicas" + NodeNames(record.replicas) +
          ", witnesses" + NodeNames(record.witnesses);
 }
@@ -106,7 +106,7 @@
 }
 
 void Put(cbor::Writer& out, const Record& record) {
-  out.Array(5).Uint(record.number).Text(record.primary).Uint(record.incarnation);
+  out.Array(5).Uint(record.epoch).Text(record.primary).Uint(record.incarnation);
   WriteMembers(out, record.replicas);
   WriteMembers(out, record.witnesses);
 }
@@ -114,7 +114,7 @@
 Record ReadRecord(cbor::Reader& in) {
   Record record;
   if (in.Array() < 5) in.Fail();
-  record.number = in.Uint();
+  record.epoch = in.Uint();
   record.primary = in.Text();
   record.incarnation = in.Uint();
   record.replicas = ReadMembers(in);
--- a/src/tier/coordination/record.h
+++ b/src/tier/coordination/record.h
@@ -20,8 +20,8 @@
 namespace shelflink::coordination {
 
 struct Record {
-  std::uint64_t number = 0;  // The epoch.
-  std::string primary;       // Identity of its disk.
+  std::uint64_t epoch = 0;  // 0: the founding record.
+  std::string primary;      // Identity of its disk.
   std::uint64_t incarnation =
       0;  // Of the primary's process: a restarted primary needs a new record.
   std::vector<CoreMember> replicas;
--- a/src/tier/coordination/replicator.h
+++ b/src/tier/coordination/replicator.h
@@ -2,7 +2,7 @@
 //
 // The primary of an epoch orders all writes. A write is acknowledged when every replica of the
 // epoch's replica set (at least fault tolerance + 1 disks) has synced it. Witnesses store only
-// epoch records (number, primary, replica set, witnesses) and elect the next primary by majority.
+// epoch records (epoch, primary, replica set, witnesses) and elect the next primary by majority.
 // There is no log that is replicated by majority.
 #ifndef SHELFLINK_TIER_COORDINATION_REPLICATOR_H_
 #define SHELFLINK_TIER_COORDINATION_REPLICATOR_H_
--- a/src/tier/coordination/witness.cpp
+++ b/src/tier/coordination/witness.cpp
@@ -32,7 +32,7 @@
 }
 
 bool Witness::Learn(Step& step, const Record& decided) {
-  if (decided.number <= state_.record.number) return false;
+  if (decided.epoch <= state_.record.epoch) return false;
   state_.record = decided;
   state_.promised = {};
   state_.accepted = {};
@@ -42,7 +42,7 @@
 }
 
 bool Witness::MayVote() const {
-  if (state_.record.number == 0 && !state_.founder) return false;
+  if (state_.record.epoch == 0 && !state_.founder) return false;
   return IsWitnessOf(state_.record, options_.self);
 }
 
@@ -53,7 +53,7 @@
 
 template <typename Request, typename Reply>
 bool Witness::MayAgree(net::Time now, const Request& request, Reply& reply) const {
-  if (request.base.number != state_.record.number || !MayVote()) return false;
+  if (request.base.epoch != state_.record.epoch || !MayVote()) return false;
   const net::Span remaining = BlockingLease(now, request.ballot);
   if (remaining > net::Span::zero()) {
     reply.lease_remaining_ms = CeilMilliseconds(remaining);
@@ -68,7 +68,7 @@
 
 PrepareReply Witness::OnPrepare(Step& step, const Prepare& request) {
   PrepareReply reply;
-  reply.number = request.base.number + 1;
+  reply.epoch = request.base.epoch + 1;
   reply.ballot = request.ballot;
   if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot > state_.promised) {
@@ -83,7 +83,7 @@
 
 AcceptReply Witness::OnAccept(Step& step, const Accept& request) {
   AcceptReply reply;
-  reply.number = request.base.number + 1;
+  reply.epoch = request.base.epoch + 1;
   reply.ballot = request.ballot;
   if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot != state_.accepted) {
@@ -96,8 +96,8 @@
   return reply;
 }
 
-bool Witness::GrantLease(net::Time now, const std::string& primary, std::uint64_t number) {
-  if (number == 0 || number != state_.record.number) return false;
+bool Witness::GrantLease(net::Time now, const std::string& primary, std::uint64_t epoch) {
+  if (epoch == 0 || epoch != state_.record.epoch) return false;
   if (primary != state_.record.primary) return false;
   // An accepted vote for another primary may have been counted already. A vote that was only
   // promised will not be given while this lease is valid.
--- a/src/tier/coordination/witness.h
+++ b/src/tier/coordination/witness.h
@@ -43,9 +43,10 @@
   PrepareReply OnPrepare(Step& step, const Prepare& request);
   AcceptReply OnAccept(Step& step, const Accept& request);
 
-  // Grants the primary of the newest record a lease that starts at `now`. Returns false if `number`
-  // is not the newest record, `primary` is not its primary, or another primary has been voted for.
-  bool GrantLease(net::Time now, const std::string& primary, std::uint64_t number);
+  // Grants the primary of the newest record a lease that starts at `now`. Returns false if `epoch`
+  // is not that of the newest record, if `primary` is not its primary, or if this witness has
+  // already voted for another primary.
+  bool GrantLease(net::Time now, const std::string& primary, std::uint64_t epoch);
   net::Time lease_until() const { return lease_until_; }
 
   // Writes the state for tests, which use it to recognize equal states.
@@ -54,7 +55,7 @@
  private:
   struct State {
     Record record;
-    Ballot promised;  // This and the fields below are for record.number + 1.
+    Ballot promised;  // This and the fields below are for record.epoch + 1.
     Ballot accepted;
     std::optional<Record> value;
     bool founder = false;
--- a/tests/tier/coordination/catch_up_test.cpp
+++ b/tests/tier/coordination/catch_up_test.cpp
@@ -212,7 +212,7 @@
     BOOST_TEST_MESSAGE(missed << " changes missed: named after "
                               << (site.now() - before) / milliseconds(1) << " ms, copied "
                               << traffic.copied << " of " << site.StateBytes("a")
-                              << ", most on the way " << traffic.most_on_the_way);
+                              << ", most in transit " << traffic.most_on_the_way);
     BOOST_TEST(traffic.copied <= site.StateBytes("a") * 5 / 4 + (64U << 10));
     BOOST_TEST((site.now() - before <= seconds(3)));
     site.Run(seconds(1));
@@ -362,7 +362,7 @@
   const Traffic& traffic = site.traffic["c"];
   BOOST_TEST_MESSAGE("named after " << (site.now() - before) / milliseconds(1) << " ms, copied "
                                     << traffic.copied << " of " << site.StateBytes("a")
-                                    << ", most on the way " << traffic.most_on_the_way);
+                                    << ", most in transit " << traffic.most_on_the_way);
   BOOST_TEST(traffic.copied <= site.StateBytes("a") * 5 / 4);
   return traffic;
 }
--- a/tests/tier/coordination/full_disk_mutants.cmake
+++ b/tests/tier/coordination/full_disk_mutants.cmake
@@ -59,8 +59,8 @@
 
 # Replies of processes whose disks refuse writes.
 tier_mutant(a_reply_without_a_disk_counts_as_a_replaced_witness coordination/record.cpp
-  [=[  if (base.number == 0 || member.disk.empty()) return nullptr;]=]
-  [=[  if (base.number == 0) return nullptr;]=]
+  [=[  if (base.epoch == 0 || member.disk.empty()) return nullptr;]=]
+  [=[  if (base.epoch == 0) return nullptr;]=]
   TEST coordination/member_test RUN an_answer_without_a_disk_is_that_of_no_replaced_witness
   LIBRARIES shelflink_tier_replication tier_coordination_world)
 tier_mutant(a_witness_without_a_disk_counts_as_replaced coordination/member_peers.cpp
--- a/tests/tier/coordination/full_disk_test.cpp
+++ b/tests/tier/coordination/full_disk_test.cpp
@@ -324,15 +324,15 @@
     BOOST_REQUIRE(cluster.Put("first", "1", seconds(4)));
     cluster.Run(seconds(2));
     Machine& primary = cluster.ThePrimary();
-    Machine& gone = cluster.Other(primary);
+    Machine& stopped = cluster.Other(primary);
     Machine& full = of_primary == 1 ? primary : cluster.Other(primary, 1);
-    gone.Stop();
+    stopped.Stop();
     cluster.Run(milliseconds(560));
     full.disk.SetFull(true);
     RunWithOnePrimary(cluster, seconds(4));
     full.disk.SetFull(false);
     BOOST_TEST(cluster.Put("second", "2", kRecovery));
-    gone.Start(false);
+    stopped.Start(false);
     CheckComplete(cluster, 5, 3);
     BOOST_TEST(cluster.ThePrimary().group().contents().at("first") == "1");
   }
--- a/tests/tier/coordination/hard_cases_test.cpp
+++ b/tests/tier/coordination/hard_cases_test.cpp
@@ -199,7 +199,7 @@
     core.world.Crash(stale, 0);
     core.world.Run(seconds(1));
     core.AcknowledgeWithoutReply();
-    const std::uint64_t epoch = core.Record().number;
+    const std::uint64_t epoch = core.Record().epoch;
     core.world.NextOrder(0);
     core.world.Crash(core.primary, 0);  // Causes an election that it misses too.
     core.world.Start(core.primary);
@@ -207,7 +207,7 @@
     core.world.Start(stale);
     core.world.Run(seconds(2));
     const Member& member = *core.world.nodes[stale].member;
-    BOOST_TEST(member.record().number > epoch);
+    BOOST_TEST(member.record().epoch > epoch);
     BOOST_TEST(core.world.Primary().value() != stale);
     if (size == 3) {
       BOOST_TEST(FindDisk(member.record().replicas, core.world.nodes[stale].identity) != nullptr);
@@ -248,12 +248,12 @@
   for (const std::size_t size : {3U, 4U}) {
     Core core(size);
     const std::size_t paused = core.primary;
-    const std::uint64_t epoch = core.Record().number;
+    const std::uint64_t epoch = core.Record().epoch;
     core.world.Submit(paused, 0);
     const World::Trouble trouble{nullptr, [&](std::size_t node) { return node == paused; }};
     BOOST_TEST(core.world.Acknowledges(1, kFailover + milliseconds(300), trouble));
     const Member& member = *core.world.nodes[paused].member;
-    BOOST_TEST(member.record().number == epoch);   // It knows no newer record,
+    BOOST_TEST(member.record().epoch == epoch);    // It knows no newer record,
     BOOST_TEST(!member.HasLease(core.world.now));  // but does not act as primary.
     BOOST_TEST(core.world.nodes[core.world.Primary().value()].member->epoch() > epoch);
     core.world.Run(seconds(2));
@@ -264,7 +264,7 @@
 
 BOOST_AUTO_TEST_CASE(a_restarted_primary_needs_a_new_epoch) {
   Core core(3);
-  const std::uint64_t epoch = core.Record().number;
+  const std::uint64_t epoch = core.Record().epoch;
   core.world.Crash(core.primary, kAllBatches);
   core.world.Start(core.primary);
   BOOST_TEST((core.TimeUntilServed() <= kFailover));
--- a/tests/tier/coordination/member_test.cpp
+++ b/tests/tier/coordination/member_test.cpp
@@ -33,17 +33,17 @@
   World world = Serving(3);
   const std::size_t primary = world.Primary().value();
   Record next = world.nodes[primary].member->record();
-  ++next.number;
+  ++next.epoch;
   world.Crash(primary, 1000);
   world.Start(primary);
   Decide(world, primary, next);
   const Member& member = *world.nodes[primary].member;
-  BOOST_TEST(member.record().number == next.number);
+  BOOST_TEST(member.record().epoch == next.epoch);
   BOOST_TEST(!member.replica().acting());
   world.Run(seconds(3));
   // Someone has it, under a number of its own.
   BOOST_REQUIRE(world.Primary().has_value());
-  BOOST_TEST(world.nodes[*world.Primary()].member->epoch() > next.number);
+  BOOST_TEST(world.nodes[*world.Primary()].member->epoch() > next.epoch);
 }
 
 BOOST_AUTO_TEST_CASE(a_primary_that_offers_its_place_to_another_acts_no_more) {
@@ -245,13 +245,13 @@
 // their votes, which may count for another proposal.
 BOOST_AUTO_TEST_CASE(an_answer_without_a_disk_is_that_of_no_replaced_witness) {
   Record base;
-  base.number = 3;
+  base.epoch = 3;
   for (std::size_t node = 0; node < 4; ++node) {
     base.witnesses.push_back(MemberAt(node, "disk" + std::to_string(node)));
   }
   Proposer proposer(base, {1, "disk0", 7});
   PrepareReply reply;
-  reply.number = 4;
+  reply.epoch = 4;
   reply.ballot = proposer.ballot();
   reply.promised = true;
   proposer.OnReply(base.witnesses[0], reply);
--- a/tests/tier/coordination/messages_test.cpp
+++ b/tests/tier/coordination/messages_test.cpp
@@ -89,7 +89,7 @@
   longer.Array(5).Uint(Message(Hello{}).index()).Uint(7).Bool(true).Bool(false).Text("later");
   const auto decoded = DecodeMessage(longer.data());
   BOOST_REQUIRE(decoded.has_value());
-  BOOST_TEST(std::get<Hello>(*decoded).number == 7U);
+  BOOST_TEST(std::get<Hello>(*decoded).epoch == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(entries_survive_encoding_and_decoding) {
--- a/tests/tier/coordination/mutants.cmake
+++ b/tests/tier/coordination/mutants.cmake
@@ -67,7 +67,7 @@
 coordination_mutant(half_a_map_may_lead member_election.cpp
   [=[  if (!has_disk() || acting_ || !replica_.complete()) return false;]=]
   [=[  if (!has_disk() || acting_) return false;
-  if (record().number > 0) return true;]=])
+  if (record().epoch > 0) return true;]=])
 coordination_mutant(too_few_replicas_suffice member_selection.cpp
   [=[  AddUpTo(chosen, candidates.silent, candidates.min_count);]=] "")
 coordination_mutant(a_witness_that_answers_is_taken_for_lost record.cpp
--- a/tests/tier/coordination/random_faults_test.cpp
+++ b/tests/tier/coordination/random_faults_test.cpp
@@ -52,18 +52,18 @@
     is_waiting_ = true;
     submitted_at_ = now;
     const std::uint64_t call = ++submit_count_;
-    const std::uint64_t least = history_.newest();
-    auto seen = std::make_shared<Document>();
+    const std::uint64_t min_version = history_.newest();
+    auto read_document = std::make_shared<Document>();
     machine.group().Submit(
-        [order = *order_, seen](const Contents& contents) {
-          *seen = DocumentIn(contents);
+        [order = *order_, read_document](const Contents& contents) {
+          *read_document = DocumentIn(contents);
           return PlanOf(order, contents);
         },
-        [this, call, least, seen, order = *order_](const Result<void>& result) {
+        [this, call, min_version, read_document, order = *order_](const Result<void>& result) {
           // A late reply to an earlier attempt counts too.
           if (result.has_value()) history_.Acknowledged(order);
           const bool certain = result.has_value() || result.error().code == ErrorCode::kConflict;
-          if (certain) history_.CheckRead(least, *seen);
+          if (certain) history_.CheckRead(min_version, *read_document);
           if (call != submit_count_) return;
           is_waiting_ = false;
           if (certain) FinishOrder();
--- a/tests/tier/coordination/second_loss_test.cpp
+++ b/tests/tier/coordination/second_loss_test.cpp
@@ -61,7 +61,7 @@
     for (const Node& node : world.nodes) {
       if (!node.member) continue;
       const Record& record = node.member->record();
-      if (newest == nullptr || record.number > newest->number) newest = &record;
+      if (newest == nullptr || record.epoch > newest->epoch) newest = &record;
     }
     BOOST_REQUIRE(newest != nullptr);
     return *newest;
--- a/tests/tier/coordination/world.cpp
+++ b/tests/tier/coordination/world.cpp
@@ -353,7 +353,7 @@
       continue;
     }
     const Member& member = *nodes[node].member;
-    text += " " + nodes[node].identity + " epoch " + std::to_string(member.record().number) +
+    text += " " + nodes[node].identity + " epoch " + std::to_string(member.record().epoch) +
             " primary " + member.record().primary + " replicas";
     for (const CoreMember& replica : member.record().replicas) text += " " + replica.disk;
     text += " witnesses";
