--- a/src/tier/coordination/witness.cpp
+++ b/src/tier/coordination/witness.cpp
@@ -16,15 +16,15 @@
 
 Witness::Witness(Options options, const storage::Storage& storage, net::Time now)
     : options_(std::move(options)) {
-  Load(storage);
-  granted_until_ = now + options_.lease;
+  LoadState(storage);
+  lease_until_ = now + options_.lease;
 }
 
-void Witness::Found(Step& step, std::vector<CoreMember> seeds) {
+void Witness::Bootstrap(Step& step, std::vector<CoreMember> seeds) {
   state_.founder = true;
-  granted_until_ = {};
+  lease_until_ = {};
   state_.record.witnesses = std::move(seeds);
-  Store(step);
+  SaveState(step);
 }
 
 bool Witness::HasStored(const storage::Storage& storage) {
@@ -32,31 +32,31 @@
 }
 
 bool Witness::Learn(Step& step, const Record& decided) {
-  if (decided.number <= state_.record.number) return false;
+  if (decided.epoch <= state_.record.epoch) return false;
   state_.record = decided;
   state_.promised = {};
   state_.accepted = {};
   state_.value.reset();
-  Store(step);
+  SaveState(step);
   return true;
 }
 
 bool Witness::MayVote() const {
-  if (state_.record.number == 0 && !state_.founder) return false;
+  if (state_.record.epoch == 0 && !state_.founder) return false;
   return IsWitnessOf(state_.record, options_.self);
 }
 
-net::Span Witness::LeaseAgainst(net::Time now, const Ballot& ballot) const {
-  if (ballot.disk == state_.record.primary) return {};  // Its own lease.
-  return std::max(granted_until_ - now, net::Span::zero());
+net::Span Witness::BlockingLease(net::Time now, const Ballot& ballot) const {
+  if (ballot.disk == state_.record.primary) return {};  // The lease is its own.
+  return std::max(lease_until_ - now, net::Span::zero());
 }
 
 template <typename Request, typename Reply>
-bool Witness::MayFollow(net::Time now, const Request& request, Reply& reply) const {
-  if (request.base.number != state_.record.number || !MayVote()) return false;
-  const net::Span left = LeaseAgainst(now, request.ballot);
-  if (left > net::Span::zero()) {
-    reply.lease_left_ms = CeilMilliseconds(left);
+bool Witness::MayAgree(net::Time now, const Request& request, Reply& reply) const {
+  if (request.base.epoch != state_.record.epoch || !MayVote()) return false;
+  const net::Span remaining = BlockingLease(now, request.ballot);
+  if (remaining > net::Span::zero()) {
+    reply.lease_remaining_ms = CeilMilliseconds(remaining);
     return false;
   }
   if (request.ballot < state_.promised) {
@@ -68,12 +68,12 @@
 
 PrepareReply Witness::OnPrepare(Step& step, const Prepare& request) {
   PrepareReply reply;
-  reply.number = request.base.number + 1;
+  reply.epoch = request.base.epoch + 1;
   reply.ballot = request.ballot;
-  if (!MayFollow(step.now, request, reply)) return reply;
+  if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot > state_.promised) {
     state_.promised = request.ballot;
-    Store(step);
+    SaveState(step);
   }
   reply.promised = true;
   reply.accepted = state_.accepted;
@@ -83,30 +83,30 @@
 
 AcceptReply Witness::OnAccept(Step& step, const Accept& request) {
   AcceptReply reply;
-  reply.number = request.base.number + 1;
+  reply.epoch = request.base.epoch + 1;
   reply.ballot = request.ballot;
-  if (!MayFollow(step.now, request, reply)) return reply;
+  if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot != state_.accepted) {
     state_.promised = request.ballot;
     state_.accepted = request.ballot;
     state_.value = request.value;
-    Store(step);
+    SaveState(step);
   }
   reply.accepted = true;
   return reply;
 }
 
-bool Witness::Grant(net::Time now, const std::string& primary, std::uint64_t number) {
-  if (number == 0 || number != state_.record.number) return false;
+bool Witness::GrantLease(net::Time now, const std::string& primary, std::uint64_t epoch) {
+  if (epoch == 0 || epoch != state_.record.epoch) return false;
   if (primary != state_.record.primary) return false;
-  // A vote for another may have been counted already. One that was only promised will not be given
-  // while this lease runs.
+  // An accepted vote for another primary may have been counted already. A vote that was only
+  // promised will not be given while this lease is valid.
   if (state_.value && state_.value->primary != primary) return false;
-  granted_until_ = std::max(granted_until_, now + options_.lease);
+  lease_until_ = std::max(lease_until_, now + options_.lease);
   return true;
 }
 
-void Witness::Store(Step& step) {
+void Witness::SaveState(Step& step) {
   cbor::Writer out;
   out.Array(5);
   Put(out, state_.record);
@@ -124,7 +124,7 @@
   step.wants_sync = true;
 }
 
-void Witness::Load(const storage::Storage& storage) {
+void Witness::LoadState(const storage::Storage& storage) {
   const auto stored = storage.Get(kStateKey);
   if (!stored) return;
   cbor::Reader in(*stored);
@@ -143,7 +143,7 @@
   Put(out, state_.promised);
   Put(out, state_.accepted);
   if (state_.value) Put(out, *state_.value);
-  out.Bool(state_.founder).Int(std::max(granted_until_ - now, net::Span::zero()).count());
+  out.Bool(state_.founder).Int(std::max(lease_until_ - now, net::Span::zero()).count());
 }
 
 }  // namespace shelflink::coordination
--- a/tests/tier/coordination/mutants.cmake
+++ b/tests/tier/coordination/mutants.cmake
@@ -36,17 +36,17 @@
   [=[  step.storage.Apply(batch);
   step.wants_sync = true;]=] "")
 coordination_mutant(votes_against_a_lease witness.cpp
-  [=[  return std::max(granted_until_ - now, net::Span::zero());]=] [=[  return {};]=])
+  [=[  return std::max(lease_until_ - now, net::Span::zero());]=] [=[  return {};]=])
 coordination_mutant(lease_after_an_accepted_vote witness.cpp
   [=[  if (state_.value && state_.value->primary != primary) return false;]=] "")
 coordination_mutant(lower_ballots_are_accepted witness.cpp
-  [=[  if (!MayFollow(step.now, request, reply)) return reply;
+  [=[  if (!MayAgree(step.now, request, reply)) return reply;
   if (request.ballot != state_.accepted) {]=]
-  [=[  if (!MayFollow(step.now, request, reply) && reply.blocking == Ballot()) return reply;
+  [=[  if (!MayAgree(step.now, request, reply) && reply.blocking == Ballot()) return reply;
   reply.blocking = {};
   if (request.ballot != state_.accepted) {]=])
 coordination_mutant(earlier_proposals_are_ignored proposer.cpp
-  [=[value_ = found_ ? *found_ : own;]=] [=[value_ = own;]=])
+  [=[value_ = earlier_value_ ? *earlier_value_ : own;]=] [=[value_ = own;]=])
 coordination_mutant(one_vote_decides proposer.cpp
   [=[  if (HasQuorum()) phase_ = Phase::kDecided;]=]
   [=[  phase_ = Phase::kDecided;]=])
@@ -67,22 +67,22 @@
 coordination_mutant(half_a_map_may_lead member_election.cpp
   [=[  if (!has_disk() || acting_ || !replica_.complete()) return false;]=]
   [=[  if (!has_disk() || acting_) return false;
-  if (record().number > 0) return true;]=])
-coordination_mutant(too_few_replicas_suffice choice.cpp
-  [=[  AddUpTo(chosen, situation.silent, situation.least);]=] "")
+  if (record().epoch > 0) return true;]=])
+coordination_mutant(too_few_replicas_suffice member_selection.cpp
+  [=[  AddUpTo(chosen, candidates.silent, candidates.min_count);]=] "")
 coordination_mutant(a_witness_that_answers_is_taken_for_lost record.cpp
   [=[  if (FindDisk(base.witnesses, member.disk) != nullptr) return nullptr;]=] "")
-second_loss_mutant(as_many_disks_as_tolerated_are_lost_at_one_instant
-  witnesses_are_always_odd choice.cpp
-  [=[  return odd || known <= 2 * failures ? known : known - 1;]=]
-  [=[  return odd ? known : known - 1;]=])
-second_loss_mutant(as_many_disks_as_tolerated_are_lost_at_one_instant
+second_loss_mutant(the_tolerated_number_of_disks_is_lost_at_once
+  witnesses_are_always_odd member_selection.cpp
+  [=[  return odd || disks <= 2 * failures ? disks : disks - 1;]=]
+  [=[  return odd ? disks : disks - 1;]=])
+second_loss_mutant(the_tolerated_number_of_disks_is_lost_at_once
   lost_witnesses_are_waited_for record.cpp
-  [=[  return gone > 0 && agreed + gone >= base.witnesses.size();]=] [=[  return false;]=])
-second_loss_mutant(lost_witnesses_that_may_have_decided_alone_stop_the_rest
+  [=[  return replaced > 0 && agreed + replaced >= base.witnesses.size();]=] [=[  return false;]=])
+second_loss_mutant(lost_witnesses_that_may_have_decided_alone_block_the_others
   lost_witnesses_cannot_have_decided record.cpp
-  [=[  if (gone >= Majority(base)) return false;  // They alone may have decided already.]=] "")
-second_loss_mutant(nothing_leaves_before_enough_others_have_everything
+  [=[  if (replaced >= Majority(base)) return false;  // They may have decided a record alone.]=] "")
+second_loss_mutant(a_machine_stays_until_enough_others_have_the_whole_map
   a_leaver_waits_for_nobody member_change.cpp
   [=[  if (FindDisk(record().replicas, options_.self.disk) == nullptr) {
     leaving_ = false;]=]
@@ -97,8 +97,8 @@
 
 # Large entries: leases and records go between their parts.
 tier_mutant(leases_wait_behind_entries coordination/group.cpp
-  [=[{.urgent = !IsOfReplication(message)}]=] [=[{.urgent = false}]=]
-  TEST coordination/group_test RUN a_long_entry_on_its_way_costs_the_primary_no_lease
+  [=[{.urgent = !IsReplicationMessage(message)}]=] [=[{.urgent = false}]=]
+  TEST coordination/group_test RUN a_large_entry_in_transit_does_not_cost_the_primary_its_lease
   LIBRARIES shelflink_tier_coordination shelflink_virtual)
 tier_mutant(what_is_on_its_way_is_sent_again coordination/replica_primary.cpp
   [=[  follower.sent_at = LeavesAt(step.now, bytes);]=] [=[  follower.sent_at = step.now;]=]
