--- a/tests/tier/coordination/member_test.cpp
+++ b/tests/tier/coordination/member_test.cpp
@@ -33,17 +33,17 @@
   World world = Serving(3);
   const std::size_t primary = world.Primary().value();
   Record next = world.nodes[primary].member->record();
-  ++next.number;
+  ++next.epoch;
   world.Crash(primary, 1000);
   world.Start(primary);
   Decide(world, primary, next);
   const Member& member = *world.nodes[primary].member;
-  BOOST_TEST(member.record().number == next.number);
+  BOOST_TEST(member.record().epoch == next.epoch);
   BOOST_TEST(!member.replica().acting());
   world.Run(seconds(3));
   // Someone has it, under a number of its own.
   BOOST_REQUIRE(world.Primary().has_value());
-  BOOST_TEST(world.nodes[*world.Primary()].member->epoch() > next.number);
+  BOOST_TEST(world.nodes[*world.Primary()].member->epoch() > next.epoch);
 }
 
 BOOST_AUTO_TEST_CASE(a_primary_that_offers_its_place_to_another_acts_no_more) {
@@ -191,10 +191,10 @@
 
 // ---- How members stand, as an operator is told.
 
-DiskStanding StandingOf(const World& world, std::size_t primary, const std::string& disk) {
-  const CopiesOfMap copies = world.nodes[primary].member->copies(world.now);
-  for (const MemberStanding& member : copies.members) {
-    if (member.member.disk == disk) return member.standing;
+DiskState StandingOf(const World& world, std::size_t primary, const std::string& disk) {
+  const ReplicationStatus copies = world.nodes[primary].member->replication_status(world.now);
+  for (const MemberStatus& member : copies.members) {
+    if (member.member.disk == disk) return member.disk_state;
   }
   throw std::runtime_error("the record does not name " + disk);
 }
@@ -205,20 +205,20 @@
   const std::size_t primary = serving.Primary().value();
   const std::size_t other = 1 - primary;
   const std::string disk = serving.nodes[other].identity;
-  BOOST_TEST((StandingOf(serving, primary, disk) == DiskStanding::kTakesWrites));
-  BOOST_TEST(serving.nodes[primary].member->copies(serving.now).wanted == 2U);
+  BOOST_TEST((StandingOf(serving, primary, disk) == DiskState::kTakesWrites));
+  BOOST_TEST(serving.nodes[primary].member->replication_status(serving.now).wanted == 2U);
 
   World silent = serving;
   silent.Crash(other, 0);
   silent.Run(milliseconds(600));
-  BOOST_TEST((StandingOf(silent, primary, disk) == DiskStanding::kSilent));
+  BOOST_TEST((StandingOf(silent, primary, disk) == DiskState::kSilent));
 
   World refusing = serving;
   refusing.FillDisk(other, 0);
   refusing.Run(milliseconds(50));
-  BOOST_TEST((StandingOf(refusing, primary, disk) == DiskStanding::kRefuses));
-  const CopiesOfMap copies = refusing.nodes[primary].member->copies(refusing.now);
-  for (const MemberStanding& member : copies.members) BOOST_TEST(member.heard_at.has_value());
+  BOOST_TEST((StandingOf(refusing, primary, disk) == DiskState::kRefusesWrites));
+  const ReplicationStatus copies = refusing.nodes[primary].member->replication_status(refusing.now);
+  for (const MemberStatus& member : copies.members) BOOST_TEST(member.heard_at.has_value());
 
   World replaced = serving;
   replaced.Wipe(other);
@@ -226,9 +226,9 @@
   bool seen = false;
   for (int step = 0; step < 100 && !seen; ++step) {
     replaced.Run(milliseconds(1));
-    const CopiesOfMap now = replaced.nodes[primary].member->copies(replaced.now);
-    for (const MemberStanding& member : now.members) {
-      seen = seen || member.standing == DiskStanding::kReplaced;
+    const ReplicationStatus now = replaced.nodes[primary].member->replication_status(replaced.now);
+    for (const MemberStatus& member : now.members) {
+      seen = seen || member.disk_state == DiskState::kReplaced;
     }
   }
   BOOST_TEST(seen);
@@ -245,13 +245,13 @@
 // their votes, which may count for another proposal.
 BOOST_AUTO_TEST_CASE(an_answer_without_a_disk_is_that_of_no_replaced_witness) {
   Record base;
-  base.number = 3;
+  base.epoch = 3;
   for (std::size_t node = 0; node < 4; ++node) {
     base.witnesses.push_back(MemberAt(node, "disk" + std::to_string(node)));
   }
   Proposer proposer(base, {1, "disk0", 7});
   PrepareReply reply;
-  reply.number = 4;
+  reply.epoch = 4;
   reply.ballot = proposer.ballot();
   reply.promised = true;
   proposer.OnReply(base.witnesses[0], reply);
