--- a/src/tier/policy/call.cpp
+++ b/src/tier/policy/call.cpp
@@ -33,7 +33,7 @@
 
 bool HasAttemptsLeft(const HeldCall& held, Micros now) {
   const int most = Mutated(Mutant::kManyAttempts) ? 9 : std::max(1, held.call.max_attempts);
-  return now < held.call.due && held.sends < most && held.attempts.size() < kMostAttempts;
+  return now < held.call.deadline && held.sends < most && held.attempts.size() < kMostAttempts;
 }
 
 bool MaySendAgain(const HeldCall& held, Micros now) {
--- a/src/tier/policy/endpoint.cpp
+++ b/src/tier/policy/endpoint.cpp
@@ -121,7 +121,7 @@
 double Endpoint::BatchPart() const { return std::max(1.0, kBatchPart * slots_); }
 
 double Endpoint::BatchRoom(Micros now) const {
-  if (!info_.runs_batch || !Usable(now) || Resting(now) || Silent(now)) return 0.0;
+  if (!info_.owned_for_batch || !Usable(now) || Resting(now) || Silent(now)) return 0.0;
   if (health_.Avoided(now)) return 0.0;
   const double seats = batch_limit_.seats() - static_cast<double>(batch_calls_);
   const double slots = BatchPart() - Running(now);
--- a/src/tier/policy/learning.cpp
+++ b/src/tier/policy/learning.cpp
@@ -104,7 +104,7 @@
     case Outcome::kTimeout:
       NoteTimeout(now, held, attempt);
       break;
-    case Outcome::kCut:
+    case Outcome::kTruncated:
       NoteHealth(now, held, endpoint, true, 1);
       break;
     case Outcome::kCancelled:
@@ -124,7 +124,7 @@
 
 // With less time than a fair chance takes, a call ends late at the healthiest endpoint.
 void Learning::NoteTimeout(Micros now, const HeldCall& held, Attempt& attempt) {
-  const Micros allowed = held.call.due == kNever ? kNever : held.call.due - attempt.sent;
+  const Micros allowed = held.call.deadline == kNever ? kNever : held.call.deadline - attempt.sent;
   const auto fair = static_cast<Micros>(kHasty * static_cast<double>(ObjectiveOf(held.call)));
   if (allowed < fair) {
     return attempt.endpoint->health().EndTrial();
--- a/src/tier/policy/module.cpp
+++ b/src/tier/policy/module.cpp
@@ -42,11 +42,11 @@
   Impl(std::uint64_t seed, Actions& actions)
       : seed_(seed), actions_(actions), learning_(seed, services_, levels_, retry_budget_) {}
 
-  void OnShape(Micros now, const Shape& shape) {
+  void OnConfig(Micros now, const ModuleConfig& config) {
     Advance(now);
-    shape_ = shape;
-    levels_.SetCount(std::max(1U, shape.levels));
-    services_.SetShape(shape);
+    config_ = config;
+    levels_.SetCount(std::max(1U, config.levels));
+    services_.SetConfig(config);
     UpdateHints();
     Settle();
   }
@@ -58,7 +58,7 @@
     Settle();
   }
 
-  void OnServiceGone(Micros now, const std::string& name) {
+  void OnServiceRemoved(Micros now, const std::string& name) {
     Advance(now);
     if (!services_.Remove(name)) return;
     UpdateHints();
@@ -74,12 +74,13 @@
     if (Mutated(Mutant::kOneFlow)) held.call.flow = 0;
     held.call.level =
         static_cast<std::uint32_t>(std::min<std::size_t>(call.level, levels_.count() - 1));
-    if (calls_.size() > shape_.most_held || !services_.CanServe(call.service)) return Refuse(held);
+    if (calls_.size() > config_.max_pending_calls || !services_.CanServe(call.service))
+      return Refuse(held);
     const std::uint32_t level = held.call.level;
     Learning::NoteUsual(services_.At(call.service).facts, call);
     levels_.NoteArrival(now, level);
     held.queued = true;
-    const auto shed = levels_.Enqueue(level, {call.id, held.call.flow, call.due});
+    const auto shed = levels_.Enqueue(level, {call.id, held.call.flow, call.deadline});
     if (shed) Refuse(calls_.at(*shed));
     Pump(level);
     WaitOrRefuse(call.id);
@@ -149,12 +150,12 @@
     Settle();
   }
 
-  bool CanMove(Micros now, CallId id, std::uint32_t number) {
+  bool CanRetryElsewhere(Micros now, CallId id, std::uint32_t number) {
     HeldCall* held = Find(id);
     const Attempt* attempt = OutAttempt(held, number);
     if (attempt == nullptr || !held->call.repeatable) return false;
     if (!HasAttemptsLeft(*held, now) || !retry_budget_.Has()) return false;
-    if (held->call.due - now < Part(kLeastOffer, ObjectiveOf(held->call))) return false;
+    if (held->call.deadline - now < Part(kLeastOffer, ObjectiveOf(held->call))) return false;
     Service& service = services_.At(held->call.service);
     return Picker::HasOther(now, *held, MembersFor(now, *held, service), *attempt->endpoint);
   }
@@ -207,12 +208,13 @@
 
   Micros LongestWait(const HeldCall& held) const {
     const Call& call = held.call;
-    if (Mutated(Mutant::kWaitLong)) return call.due - now_;
+    if (Mutated(Mutant::kWaitLong)) return call.deadline - now_;
     if (call.batch || call.timeout <= 0) return 0;  // Batch items wait in the store.
     Micros wait =
         std::min(Part(kWaitFraction, call.timeout), Part(kWaitObjective, ObjectiveOf(call)));
     // Leave the work its usual time: a wait that eats it wins nothing.
-    if (call.due != kNever) wait = std::min(wait, call.due - now_ - levels_.UsualSpan(call.level));
+    if (call.deadline != kNever)
+      wait = std::min(wait, call.deadline - now_ - levels_.UsualSpan(call.level));
     return wait;
   }
 
@@ -238,7 +240,7 @@
       HeldCall* held = Find(next->request);
       if (held == nullptr) continue;
       held->last_slots = MayTakeLastSlots(held->call);
-      const Choice choice = now_ < held->call.due ? Pick(*held) : Choice{};
+      const Choice choice = now_ < held->call.deadline ? Pick(*held) : Choice{};
       if (choice.crowded && !held->call.batch) return levels_.PutBack(level, *next);
       held->queued = false;
       if (choice.endpoint != nullptr) {
@@ -318,7 +320,7 @@
 
   bool Retry(HeldCall& held, Outcome outcome) {
     if (!MaySendAgain(held, now_)) return false;
-    if (held.call.due - now_ < Part(kLeastOffer, ObjectiveOf(held.call))) return false;
+    if (held.call.deadline - now_ < Part(kLeastOffer, ObjectiveOf(held.call))) return false;
     // What never reached an endpoint has cost none any work: it needs no token.
     const bool costs = CountsAsSend(outcome);
     if (costs && !retry_budget_.Has() && !Mutated(Mutant::kNoRetryBudget)) return false;
@@ -344,8 +346,8 @@
   Micros RetryAfter(const Call& call) const {
     const double draw = gaugecart::Unit(gaugecart::Mix(seed_ ^ call.id));
     const Micros advice = Part(kAdviceLeast + kAdviceSpread * draw, ObjectiveOf(call));
-    if (call.due == kNever) return advice;
-    return std::min(advice, std::max<Micros>(0, Part(kAdviceMost, call.due - now_)));
+    if (call.deadline == kNever) return advice;
+    return std::min(advice, std::max<Micros>(0, Part(kAdviceMost, call.deadline - now_)));
   }
 
   void Forget(HeldCall& held) {
@@ -363,7 +365,7 @@
   std::uint64_t seed_;
   Actions& actions_;
   Micros now_ = 0;
-  Shape shape_;
+  ModuleConfig config_;
   Levels levels_;
   Services services_;
   std::unordered_map<CallId, HeldCall> calls_;
@@ -376,10 +378,10 @@
     : impl_(std::make_unique<Impl>(seed, actions)) {}
 Module::~Module() = default;
 
-void Module::OnShape(Micros now, const Shape& shape) { impl_->OnShape(now, shape); }
+void Module::OnConfig(Micros now, const ModuleConfig& config) { impl_->OnConfig(now, config); }
 void Module::OnService(Micros now, const ServiceInfo& service) { impl_->OnService(now, service); }
-void Module::OnServiceGone(Micros now, const std::string& service) {
-  impl_->OnServiceGone(now, service);
+void Module::OnServiceRemoved(Micros now, const std::string& service) {
+  impl_->OnServiceRemoved(now, service);
 }
 void Module::OnCall(Micros now, const Call& call) { impl_->OnCall(now, call); }
 void Module::OnFirstEvent(Micros now, CallId call, std::uint32_t attempt) {
@@ -398,8 +400,8 @@
   impl_->OnLoad(now, endpoint, running, waiting, slots);
 }
 void Module::OnTimer(Micros now) { impl_->OnTimer(now); }
-bool Module::CanMove(Micros now, CallId call, std::uint32_t attempt) const {
-  return impl_->CanMove(now, call, attempt);
+bool Module::CanRetryElsewhere(Micros now, CallId call, std::uint32_t attempt) const {
+  return impl_->CanRetryElsewhere(now, call, attempt);
 }
 std::uint32_t Module::Room(Micros now, std::uint32_t level) const {
   return impl_->Room(now, level);
--- a/src/tier/policy/module.h
+++ b/src/tier/policy/module.h
@@ -24,7 +24,7 @@
   int slots = 1;
   bool draining = false;
   Micros cold_until = 0;
-  bool runs_batch = true;  // This sidecar sends batch calls there (batch_owners.h).
+  bool owned_for_batch = true;  // This sidecar sends batch calls there (batch_owners.h).
 };
 
 struct ServiceInfo {
@@ -35,12 +35,12 @@
 };
 
 // Changes with the configuration and with the number of sidecars.
-struct Shape {
+struct ModuleConfig {
   std::string node;
   std::string zone;
-  std::uint32_t sidecars = 1;    // Ready ones, this one among them.
-  std::uint32_t levels = 1;      // Priority levels, 0 the most urgent; the last one is batch's.
-  std::size_t most_held = 4096;  // Calls held in all; what comes beyond is refused.
+  std::uint32_t sidecars = 1;  // Ready ones, this one among them.
+  std::uint32_t levels = 1;    // Priority levels, 0 the most urgent; the last one is batch's.
+  std::size_t max_pending_calls = 4096;  // Calls held in all; what comes beyond is refused.
 };
 
 struct PromptPart {
@@ -53,9 +53,9 @@
   std::uint32_t level = 0;
   std::uint64_t flow = 0;  // Hash of the tenant; of the route where there is none.
   std::string service;
-  Micros due = kNever;   // The caller stops waiting.
-  Micros timeout = 0;    // The route's; a fixed fraction of it is the longest wait.
-  Micros objective = 0;  // To the first event or the answer.
+  Micros deadline = kNever;  // The caller stops waiting.
+  Micros timeout = 0;        // The route's; a fixed fraction of it is the longest wait.
+  Micros objective = 0;      // To the first event or the answer.
   int max_attempts = 1;
   bool repeatable = false;  // Idempotent, or a stream that may be resumed.
   bool batch = false;
@@ -72,7 +72,7 @@
   kError,        // An answer of failure; it has run.
   kReset,        // Broken after it was sent, before any event; it may have run.
   kTimeout,      // Silence; it may have run.
-  kCut,          // Broken in the middle of its events.
+  kTruncated,    // Broken in the middle of its events.
   kCancelled,    // Given up on this side.
 };
 
@@ -102,10 +102,10 @@
   Module(const Module&) = delete;
   Module& operator=(const Module&) = delete;
 
-  void OnShape(Micros now, const Shape& shape);
+  void OnConfig(Micros now, const ModuleConfig& config);
   // All of one service; what is not among them is gone.
   void OnService(Micros now, const ServiceInfo& service);
-  void OnServiceGone(Micros now, const std::string& service);
+  void OnServiceRemoved(Micros now, const std::string& service);
 
   void OnCall(Micros now, const Call& call);
   // The first event or the head of the answer has come from the endpoint.
@@ -123,7 +123,7 @@
   void OnTimer(Micros now);
 
   // Whether the call, given up at the endpoint of this attempt, would go on at another at once.
-  bool CanMove(Micros now, CallId call, std::uint32_t attempt) const;
+  bool CanRetryElsewhere(Micros now, CallId call, std::uint32_t attempt) const;
   // How many more calls of the level would run at once; for whoever takes batch items up.
   std::uint32_t Room(Micros now, std::uint32_t level) const;
   BatchState batch() const;
--- a/src/tier/policy/services.cpp
+++ b/src/tier/policy/services.cpp
@@ -10,8 +10,8 @@
 
 }  // namespace
 
-void Services::SetShape(const Shape& shape) {
-  shape_ = shape;
+void Services::SetConfig(const ModuleConfig& config) {
+  config_ = config;
   for (auto& [name, service] : services_) Place(*service);
 }
 
@@ -69,7 +69,7 @@
   }
 }
 
-double Services::EvenShare(double of_all) const { return of_all / std::max(1U, shape_.sidecars); }
+double Services::EvenShare(double of_all) const { return of_all / std::max(1U, config_.sidecars); }
 
 double Services::AllSlots() const {
   double slots = 0.0;
@@ -150,14 +150,14 @@
   service.batch_endpoints.clear();
   const std::vector<EndpointInfo>& listed = service.subset.endpoints();
   for (std::size_t i = 0; i < listed.size(); ++i) {
-    if (!listed[i].runs_batch) continue;
+    if (!listed[i].owned_for_batch) continue;
     service.batch_endpoints.push_back(&Touch(service, listed[i], service.subset.hashes()[i]));
   }
 }
 
 void Services::Place(Service& service) const {
-  service.subset.SetNode(shape_.node, shape_.zone);
-  service.picker = Picker(shape_.zone);
+  service.subset.SetNode(config_.node, config_.zone);
+  service.picker = Picker(config_.zone);
 }
 
 // Of an endpoint that is gone nothing is kept once nothing is out to it.
--- a/src/tier/policy/services.h
+++ b/src/tier/policy/services.h
@@ -40,7 +40,7 @@
   // The time of the event under way.
   void SetNow(Micros now) { now_ = now; }
   // Who this sidecar is, and how many share the endpoints.
-  void SetShape(const Shape& shape);
+  void SetConfig(const ModuleConfig& config);
   // All of one service; an endpoint that is not among them is gone.
   void Set(const ServiceInfo& info);
   // Kept while calls are out to its endpoints. False: it was not known.
@@ -77,7 +77,7 @@
   void TouchBatchEndpoints(Service& service);
   void UpdateTouched(Service& service, const std::vector<EndpointInfo>& listed) const;
 
-  Shape shape_;
+  ModuleConfig config_;
   Micros now_ = 0;
   std::unordered_map<std::string, std::unique_ptr<Service>> services_;
 };
--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -84,7 +84,7 @@
   call.level = request.level;
   call.flow = HashOf(request.tenant.empty() ? route.name : request.tenant);
   call.service = live.service;
-  if (!request.batch || request.due) call.due = SteadyMicros(live.deadline);
+  if (!request.batch || request.due) call.deadline = SteadyMicros(live.deadline);
   call.timeout = std::chrono::duration_cast<std::chrono::microseconds>(route.timeout).count();
   call.objective = std::chrono::duration_cast<std::chrono::microseconds>(route.slo).count();
   call.max_attempts = live.max_attempts();
@@ -324,7 +324,7 @@
   log_.Line("a stream's events do not follow one another: it is cut");
   live->out = false;
   upstream_.Cancel(key);
-  Tell(key, Outcome::kCut, false);
+  Tell(key, Outcome::kTruncated, false);
   Finish(live, CallEnd::kBroken);
   return false;
 }
@@ -372,7 +372,7 @@
 // Whether the call, given up at its present endpoint, would go on at another at once.
 bool EndpointCalls::CanMove(const LiveCall& live, AttemptKey key) const {
   return live.MayMove() && live.sends < LiveCall::kMostSends && live.CanContinue() &&
-         module_.CanMove(Now(), key.first, key.second);
+         module_.CanRetryElsewhere(Now(), key.first, key.second);
 }
 
 // It may have run, and no whole answer came of it.
@@ -380,7 +380,7 @@
   live->out = false;
   ++live->ran;
   const bool again = live->MayGoOn(loop_.Now());
-  if (live->streaming && live->events.events() > 0) outcome = Outcome::kCut;
+  if (live->streaming && live->events.events() > 0) outcome = Outcome::kTruncated;
   if (again) live->events.Rejoin();
   Tell(key, outcome, again);
   if (!again) Finish(live, CallEnd::kFailed);
--- a/src/tier/proxy/module_feed.cpp
+++ b/src/tier/proxy/module_feed.cpp
@@ -32,15 +32,15 @@
 
 bool ModuleFeed::TellShape(policy::Micros now, const cluster::View& view) {
   if (view.configuration) levels_ = Levels(*view.configuration);
-  policy::Shape shape;
+  policy::ModuleConfig shape;
   shape.node = options_.node;
   shape.zone = options_.zone;
   shape.levels = levels_.count();
-  shape.most_held = options_.most_held;
+  shape.max_pending_calls = options_.most_held;
   std::vector<policy::BatchOwners::Sidecar> ready;
   if (view.members) ready = ReadyProxies(*view.members);
   shape.sidecars = static_cast<std::uint32_t>(std::max<std::size_t>(1, ready.size()));
-  module_.OnShape(now, shape);
+  module_.OnConfig(now, shape);
   // Who knows of no other does not take itself for the only one: after a loss of power many begin
   // so, and each of them would send batch calls to every endpoint.
   return batch_owners_.SetSidecars(std::move(ready));
@@ -51,13 +51,13 @@
   for (auto it = services_.begin(); it != services_.end();) {
     const auto present = it++;
     if (services.contains(*present)) continue;
-    module_.OnServiceGone(now, *present);
+    module_.OnServiceRemoved(now, *present);
     services_.erase(present);
   }
   for (auto& [name, info] : services) {
     services_.insert(name);
     for (policy::EndpointInfo& endpoint : info.endpoints) {
-      endpoint.runs_batch = batch_owners_.Owns(options_.node, endpoint.id, endpoint.zone);
+      endpoint.owned_for_batch = batch_owners_.Owns(options_.node, endpoint.id, endpoint.zone);
     }
     module_.OnService(now, info);
   }
--- a/tests/tier/policy/batch_share_test.cpp
+++ b/tests/tier/policy/batch_share_test.cpp
@@ -199,12 +199,12 @@
 
 struct Sidecar {
   Sidecar() : module(1, actions) {
-    Shape shape;
-    shape.node = "edge-1";
-    shape.zone = "here";
-    shape.sidecars = 69;
-    shape.levels = 2;
-    module.OnShape(0, shape);
+    ModuleConfig config;
+    config.node = "edge-1";
+    config.zone = "here";
+    config.sidecars = 69;
+    config.levels = 2;
+    module.OnConfig(0, config);
     List({"own", "other"}, {"own"});
   }
 
@@ -216,7 +216,7 @@
       info.id = id;
       info.zone = "here";
       info.slots = 8;
-      info.runs_batch = std::find(own.begin(), own.end(), id) != own.end();
+      info.owned_for_batch = std::find(own.begin(), own.end(), id) != own.end();
       service.endpoints.push_back(info);
     }
     module.OnService(0, service);
@@ -232,7 +232,7 @@
     call.max_attempts = 3;
     if (!batch) {
       call.timeout = 5000 * kMs;
-      call.due = now + 5000 * kMs;
+      call.deadline = now + 5000 * kMs;
     }
     module.OnCall(now, call);
   }
--- a/tests/tier/policy/policy_module_test.cpp
+++ b/tests/tier/policy/policy_module_test.cpp
@@ -39,10 +39,10 @@
 
 struct Fixture {
   Fixture() {
-    Shape shape;
-    shape.node = "edge-1";
-    shape.levels = 2;
-    module.OnShape(0, shape);
+    ModuleConfig config;
+    config.node = "edge-1";
+    config.levels = 2;
+    module.OnConfig(0, config);
     ServiceInfo service;
     service.name = "model";
     service.endpoints = {{"a", "z", 8, false, 0}, {"b", "z", 8, false, 0}};
@@ -52,7 +52,7 @@
     Call call;
     call.id = id;
     call.service = "model";
-    call.due = 5000 * kMs;
+    call.deadline = 5000 * kMs;
     call.timeout = 5000 * kMs;
     call.max_attempts = 2;
     call.prompt_tokens = 100;
@@ -127,10 +127,10 @@
   call.repeatable = true;
   module.OnCall(0, call);
   module.OnFirstEvent(1, 1, 0);
-  module.OnOutcome(2, 1, 0, Outcome::kCut, true);
+  module.OnOutcome(2, 1, 0, Outcome::kTruncated, true);
   BOOST_REQUIRE_EQUAL(actions.sent.size(), 2U);
   BOOST_TEST(actions.sent[0].endpoint != actions.sent[1].endpoint);
-  module.OnOutcome(3, 1, 1, Outcome::kCut, true);
+  module.OnOutcome(3, 1, 1, Outcome::kTruncated, true);
   BOOST_TEST(actions.failed.size() == 1U);
 }
 
@@ -138,13 +138,13 @@
   Call call = NewCall(1);
   call.objective = 300 * kMs;
   module.OnCall(0, call);
-  module.OnOutcome(call.due - 10 * kMs, 1, 0, Outcome::kNotRun, true);
+  module.OnOutcome(call.deadline - 10 * kMs, 1, 0, Outcome::kNotRun, true);
   BOOST_TEST(actions.sent.size() == 1U);
   BOOST_TEST(actions.refused.size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(refused_calls_are_told_to_come_back_at_different_times, Fixture) {
-  module.OnServiceGone(0, "model");
+  module.OnServiceRemoved(0, "model");
   for (CallId id = 1; id <= 50; ++id) module.OnCall(1, NewCall(id));
   BOOST_REQUIRE_EQUAL(actions.refused.size(), 50U);
   BOOST_TEST(actions.advice.size() > 40U);
@@ -153,11 +153,11 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(no_more_calls_are_held_than_may_be, Fixture) {
-  Shape shape;
-  shape.node = "edge-1";
-  shape.levels = 2;
-  shape.most_held = 5;
-  module.OnShape(0, shape);
+  ModuleConfig config;
+  config.node = "edge-1";
+  config.levels = 2;
+  config.max_pending_calls = 5;
+  module.OnConfig(0, config);
   for (CallId id = 1; id <= 8; ++id) module.OnCall(1, NewCall(id));
   BOOST_TEST(actions.sent.size() == 5U);
   BOOST_TEST(actions.refused.size() == 3U);
@@ -166,7 +166,7 @@
 BOOST_FIXTURE_TEST_CASE(a_service_may_go_while_its_calls_are_out, Fixture) {
   module.OnCall(0, NewCall(1));
   module.OnCall(0, NewCall(2));
-  module.OnServiceGone(1, "model");
+  module.OnServiceRemoved(1, "model");
   module.OnFirstEvent(2, 1, 0);
   module.OnOutcome(3, 1, 0, Outcome::kSuccess, false);
   module.OnOutcome(4, 2, 0, Outcome::kNotRun, true);
@@ -201,7 +201,7 @@
     call.batch = true;
     call.level = 1;
     call.timeout = 0;
-    call.due = kNever;
+    call.deadline = kNever;
     module.OnCall(1, call);
   }
   BOOST_TEST(actions.refused.size() >= 26U);
@@ -215,7 +215,7 @@
     call.batch = true;
     call.level = 1;
     call.timeout = 0;
-    call.due = kNever;
+    call.deadline = kNever;
     call.objective = 400 * kMs;
     module.OnCall(now, call);
     now += 1500 * kMs;
@@ -230,7 +230,7 @@
   // As many live calls at once as before anything was learned: three quarters of the first limit.
   for (CallId id = 1001; id <= 1024; ++id) {
     Call call = NewCall(id);
-    call.due = now + 5000 * kMs;
+    call.deadline = now + 5000 * kMs;
     module.OnCall(now, call);
   }
   BOOST_TEST(actions.sent.size() == 224U);
@@ -254,7 +254,7 @@
       module.OnOutcome(now, id, 0, Outcome::kSuccess, false);
     }
     Call call = NewCall(++id);
-    call.due = now + 5000 * kMs;
+    call.deadline = now + 5000 * kMs;
     module.OnCall(now, call);
     if (actions.sent.back().endpoint == dark) ++to_dark;
   }
--- a/tests/tier/policy/scenarios.cpp
+++ b/tests/tier/policy/scenarios.cpp
@@ -461,7 +461,7 @@
     if (attempt != known.attempts) Note("attempts are not numbered in order");
     if (known.may_have_run && !known.call.repeatable) Note("sent again though it may have run");
     if (known.sends >= known.call.max_attempts) Note("sent to more than max_attempts");
-    if (now_ >= known.call.due) Note("sent after it was due");
+    if (now_ >= known.call.deadline) Note("sent after it was due");
     if (!usable_.contains(endpoint)) Note("sent to one that drains or is gone");
     if (known.turned_away.contains(endpoint)) Note("sent again to one that turned it away");
     ++known.attempts;
@@ -514,18 +514,18 @@
   }
 
   void Reshape() {
-    Shape shape;
-    shape.node = "edge-1";
-    shape.levels = 1 + static_cast<std::uint32_t>(Below(4));
-    shape.sidecars = 1 + static_cast<std::uint32_t>(Below(30));
-    shape.most_held = 4 + Below(40);
-    module_.OnShape(now_, shape);
+    ModuleConfig config;
+    config.node = "edge-1";
+    config.levels = 1 + static_cast<std::uint32_t>(Below(4));
+    config.sidecars = 1 + static_cast<std::uint32_t>(Below(30));
+    config.max_pending_calls = 4 + Below(40);
+    module_.OnConfig(now_, config);
   }
 
   void Relist() {
     if (Below(12) == 0) {
       usable_.clear();
-      return module_.OnServiceGone(now_, "model");
+      return module_.OnServiceRemoved(now_, "model");
     }
     ServiceInfo service;
     service.name = "model";
@@ -552,7 +552,7 @@
     known.call.flow = Below(6);
     known.call.timeout = static_cast<Micros>(Below(4) * 1'000'000);
     known.call.objective = static_cast<Micros>(Below(2) * 300'000);
-    if (Below(4) > 0) known.call.due = now_ + static_cast<Micros>(Below(3'000'000));
+    if (Below(4) > 0) known.call.deadline = now_ + static_cast<Micros>(Below(3'000'000));
     known.call.max_attempts = 1 + static_cast<int>(Below(3));
     known.call.repeatable = Below(2) == 0;
     known.call.prompt = {{Below(4), 300}, {100 + Below(10), 500}, {1000 + last_, 200}};
@@ -574,9 +574,10 @@
   void Answer() {
     const auto id = AnyOut();
     if (!id) return;
-    constexpr Outcome kOutcomes[] = {Outcome::kSuccess,   Outcome::kNotRun, Outcome::kMisdirected,
-                                     Outcome::kNeverSent, Outcome::kError,  Outcome::kReset,
-                                     Outcome::kTimeout,   Outcome::kCut,    Outcome::kCancelled};
+    constexpr Outcome kOutcomes[] = {
+        Outcome::kSuccess,   Outcome::kNotRun,    Outcome::kMisdirected,
+        Outcome::kNeverSent, Outcome::kError,     Outcome::kReset,
+        Outcome::kTimeout,   Outcome::kTruncated, Outcome::kCancelled};
     Tell(*id, kOutcomes[Below(std::size(kOutcomes))], Below(6) > 0);
   }
 
--- a/tests/tier/policy/world.h
+++ b/tests/tier/policy/world.h
@@ -120,13 +120,13 @@
     std::vector<BatchOwners::Sidecar> members;
     for (std::size_t i = 0; i < sidecars; ++i) {
       nodes_.push_back(std::make_unique<Node>(*this, i, seed));
-      Shape shape;
-      shape.node = NodeName(i);
-      shape.zone = "zone-" + std::to_string(i % 2);
-      shape.sidecars = static_cast<std::uint32_t>(sidecars);
-      shape.levels = levels;
-      nodes_[i]->module.OnShape(0, shape);
-      members.push_back({shape.node, shape.zone});
+      ModuleConfig config;
+      config.node = NodeName(i);
+      config.zone = "zone-" + std::to_string(i % 2);
+      config.sidecars = static_cast<std::uint32_t>(sidecars);
+      config.levels = levels;
+      nodes_[i]->module.OnConfig(0, config);
+      members.push_back({config.node, config.zone});
     }
     batch_owners_.SetSidecars(members);
     List();
@@ -149,7 +149,7 @@
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       for (EndpointInfo& info : service.endpoints) {
-        info.runs_batch = batch_owners_.Owns(NodeName(i), info.id, info.zone);
+        info.owned_for_batch = batch_owners_.Owns(NodeName(i), info.id, info.zone);
       }
       nodes_[i]->module.OnService(now_, service);
     }
@@ -169,7 +169,7 @@
     if (!call.batch) {
       if (call.timeout == 0) call.timeout = 5 * kSecond;
       if (call.objective == 0) call.objective = 300 * kMillisecond;
-      if (call.due == kNever) call.due = now_ + 5 * kSecond;
+      if (call.deadline == kNever) call.deadline = now_ + 5 * kSecond;
     }
     Record& record = records_[call.id];
     record.came = now_;
