--- a/src/tier/policy/batch_start.h
+++ b/src/tier/policy/batch_start_delay.h
@@ -3,8 +3,8 @@
 // It is the least that was seen lately, without the reading of the prompt: an average would rise
 // with the waits that it is to tell, and under a lasting overload nothing would look like a wait
 // any more.
-#ifndef SHELFLINK_TIER_POLICY_BATCH_START_H_
-#define SHELFLINK_TIER_POLICY_BATCH_START_H_
+#ifndef SHELFLINK_TIER_POLICY_BATCH_START_DELAY_H_
+#define SHELFLINK_TIER_POLICY_BATCH_START_DELAY_H_
 
 #include <algorithm>
 #include <optional>
@@ -29,4 +29,4 @@
 
 }  // namespace shelflink::policy
 
-#endif  // SHELFLINK_TIER_POLICY_BATCH_START_H_
+#endif  // SHELFLINK_TIER_POLICY_BATCH_START_DELAY_H_
--- a/src/tier/policy/endpoint.h
+++ b/src/tier/policy/endpoint.h
@@ -9,8 +9,8 @@
 
 #include "policy/health.h"
 #include "tier/policy/batch_limit.h"
-#include "tier/policy/call.h"
 #include "tier/policy/module.h"
+#include "tier/policy/pending_call.h"
 #include "tier/policy/prefix_cache.h"
 
 namespace shelflink::policy {
--- a/src/tier/policy/long_prompts.cpp
+++ b/src/tier/policy/long_prompt_pool.cpp
@@ -1,4 +1,4 @@
-#include "tier/policy/long_prompts.h"
+#include "tier/policy/long_prompt_pool.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/tier/policy/long_prompts.h
+++ b/src/tier/policy/long_prompt_pool.h
@@ -1,8 +1,8 @@
 // Keeps long prompts apart: while an endpoint reads a long prompt, the events of all streams that
 // it runs come late. A few of a service's endpoints, the same at every sidecar, are preferred for
 // long prompts and the others for short ones; how many follows from what is being read. Pure.
-#ifndef SHELFLINK_TIER_POLICY_LONG_PROMPTS_H_
-#define SHELFLINK_TIER_POLICY_LONG_PROMPTS_H_
+#ifndef SHELFLINK_TIER_POLICY_LONG_PROMPT_POOL_H_
+#define SHELFLINK_TIER_POLICY_LONG_PROMPT_POOL_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -37,4 +37,4 @@
 
 }  // namespace shelflink::policy
 
-#endif  // SHELFLINK_TIER_POLICY_LONG_PROMPTS_H_
+#endif  // SHELFLINK_TIER_POLICY_LONG_PROMPT_POOL_H_
--- a/src/tier/policy/module.cpp
+++ b/src/tier/policy/module.cpp
@@ -7,12 +7,12 @@
 
 #include "deadlines.h"
 #include "mix.h"
-#include "tier/policy/call.h"
 #include "tier/policy/endpoint.h"
-#include "tier/policy/learning.h"
-#include "tier/policy/levels.h"
 #include "tier/policy/mutant.h"
+#include "tier/policy/outcome_feedback.h"
+#include "tier/policy/pending_call.h"
 #include "tier/policy/picker.h"
+#include "tier/policy/priority_levels.h"
 #include "tier/policy/services.h"
 
 namespace shelflink::policy {
--- a/src/tier/policy/learning.cpp
+++ b/src/tier/policy/outcome_feedback.cpp
@@ -1,4 +1,4 @@
-#include "tier/policy/learning.h"
+#include "tier/policy/outcome_feedback.h"
 
 #include <algorithm>
 #include <vector>
--- a/src/tier/policy/learning.h
+++ b/src/tier/policy/outcome_feedback.h
@@ -1,13 +1,13 @@
 // What the outcomes of attempts teach: of an endpoint's pace and health, of a service's usual
 // times, and of how much the endpoints can take. Pure.
-#ifndef SHELFLINK_TIER_POLICY_LEARNING_H_
-#define SHELFLINK_TIER_POLICY_LEARNING_H_
+#ifndef SHELFLINK_TIER_POLICY_OUTCOME_FEEDBACK_H_
+#define SHELFLINK_TIER_POLICY_OUTCOME_FEEDBACK_H_
 
 #include <cstdint>
 
 #include "policy/limiter.h"
-#include "tier/policy/call.h"
-#include "tier/policy/levels.h"
+#include "tier/policy/pending_call.h"
+#include "tier/policy/priority_levels.h"
 #include "tier/policy/services.h"
 
 namespace shelflink::policy {
@@ -41,4 +41,4 @@
 
 }  // namespace shelflink::policy
 
-#endif  // SHELFLINK_TIER_POLICY_LEARNING_H_
+#endif  // SHELFLINK_TIER_POLICY_OUTCOME_FEEDBACK_H_
--- a/src/tier/policy/call.cpp
+++ b/src/tier/policy/pending_call.cpp
@@ -1,4 +1,4 @@
-#include "tier/policy/call.h"
+#include "tier/policy/pending_call.h"
 
 #include <algorithm>
 
--- a/src/tier/policy/call.h
+++ b/src/tier/policy/pending_call.h
@@ -1,6 +1,6 @@
 // A call that the module holds, its attempts, and what may lawfully be done with it.
-#ifndef SHELFLINK_TIER_POLICY_CALL_H_
-#define SHELFLINK_TIER_POLICY_CALL_H_
+#ifndef SHELFLINK_TIER_POLICY_PENDING_CALL_H_
+#define SHELFLINK_TIER_POLICY_PENDING_CALL_H_
 
 #include <cstdint>
 #include <vector>
@@ -51,4 +51,4 @@
 
 }  // namespace shelflink::policy
 
-#endif  // SHELFLINK_TIER_POLICY_CALL_H_
+#endif  // SHELFLINK_TIER_POLICY_PENDING_CALL_H_
--- a/src/tier/policy/picker.h
+++ b/src/tier/policy/picker.h
@@ -7,12 +7,12 @@
 #include <optional>
 #include <vector>
 
-#include "tier/policy/batch_start.h"
-#include "tier/policy/call.h"
+#include "tier/policy/batch_start_delay.h"
 #include "tier/policy/endpoint.h"
 #include "tier/policy/first_event_model.h"
-#include "tier/policy/long_prompts.h"
+#include "tier/policy/long_prompt_pool.h"
 #include "tier/policy/module.h"
+#include "tier/policy/pending_call.h"
 
 namespace shelflink::policy {
 
--- a/src/tier/policy/levels.cpp
+++ b/src/tier/policy/priority_levels.cpp
@@ -1,4 +1,4 @@
-#include "tier/policy/levels.h"
+#include "tier/policy/priority_levels.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/tier/policy/levels.h
+++ b/src/tier/policy/priority_levels.h
@@ -1,7 +1,7 @@
 // Priority levels: isolated pools that never lend, each with queues of its own before it. Pools are
 // shares of one learned limit on calls in flight. Built of the parts that gaugecart is built of.
-#ifndef SHELFLINK_TIER_POLICY_LEVELS_H_
-#define SHELFLINK_TIER_POLICY_LEVELS_H_
+#ifndef SHELFLINK_TIER_POLICY_PRIORITY_LEVELS_H_
+#define SHELFLINK_TIER_POLICY_PRIORITY_LEVELS_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -92,4 +92,4 @@
 
 }  // namespace shelflink::policy
 
-#endif  // SHELFLINK_TIER_POLICY_LEVELS_H_
+#endif  // SHELFLINK_TIER_POLICY_PRIORITY_LEVELS_H_
--- a/src/tier/policy/services.h
+++ b/src/tier/policy/services.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "policy/health.h"
-#include "tier/policy/call.h"
 #include "tier/policy/endpoint.h"
 #include "tier/policy/module.h"
+#include "tier/policy/pending_call.h"
 #include "tier/policy/picker.h"
 #include "tier/policy/subset.h"
 
--- a/tests/tier/policy/batch_share_test.cpp
+++ b/tests/tier/policy/batch_share_test.cpp
@@ -8,7 +8,7 @@
 
 #include "tier/policy/batch_limit.h"
 #include "tier/policy/batch_owners.h"
-#include "tier/policy/batch_start.h"
+#include "tier/policy/batch_start_delay.h"
 #include "tier/policy/module.h"
 
 namespace shelflink::policy {
--- a/tests/tier/policy/fleet_scenarios.cpp
+++ b/tests/tier/policy/fleet_scenarios.cpp
@@ -7,7 +7,7 @@
 
 #include "policy/scenario_tools.h"
 #include "policy/scenarios.h"
-#include "policy/world.h"
+#include "policy/simulation.h"
 
 namespace shelflink::policy::testing {
 namespace {
--- a/tests/tier/policy/long_prompts_test.cpp
+++ b/tests/tier/policy/long_prompts_test.cpp
@@ -1,12 +1,12 @@
 // Long prompts are kept apart where they take much of the reading, at the same endpoints
 // everywhere.
 #define BOOST_TEST_MODULE long_prompts
-#include "tier/policy/long_prompts.h"
-
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <vector>
 
+#include "tier/policy/long_prompt_pool.h"
+
 namespace {
 
 using shelflink::policy::LongPrompts;
--- a/tests/tier/policy/policy_parts_test.cpp
+++ b/tests/tier/policy/policy_parts_test.cpp
@@ -9,9 +9,9 @@
 #include "draws.h"
 #include "tier/policy/endpoint.h"
 #include "tier/policy/first_event_model.h"
-#include "tier/policy/levels.h"
 #include "tier/policy/picker.h"
 #include "tier/policy/prefix_cache.h"
+#include "tier/policy/priority_levels.h"
 #include "tier/policy/subset.h"
 
 namespace shelflink::policy {
--- a/tests/tier/policy/scenario_tools.h
+++ b/tests/tier/policy/scenario_tools.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "policy/scenarios.h"
-#include "policy/world.h"
+#include "policy/simulation.h"
 
 namespace shelflink::policy::testing {
 
--- a/tests/tier/policy/scenarios.cpp
+++ b/tests/tier/policy/scenarios.cpp
@@ -3,7 +3,7 @@
 #include <optional>
 
 #include "policy/scenario_tools.h"
-#include "policy/world.h"
+#include "policy/simulation.h"
 
 namespace shelflink::policy::testing {
 namespace {
--- a/tests/tier/policy/world.h
+++ b/tests/tier/policy/simulation.h
@@ -1,8 +1,8 @@
 // A simple model of endpoints, clients and sidecars on a virtual clock, to see what the decision
 // module brings about. Endpoints read prompts one after the other, keep parts, run calls in slots
 // and queue a few more.
-#ifndef SHELFLINK_TESTS_TIER_POLICY_WORLD_H_
-#define SHELFLINK_TESTS_TIER_POLICY_WORLD_H_
+#ifndef SHELFLINK_TESTS_TIER_POLICY_SIMULATION_H_
+#define SHELFLINK_TESTS_TIER_POLICY_SIMULATION_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -398,4 +398,4 @@
 
 }  // namespace shelflink::policy::testing
 
-#endif  // SHELFLINK_TESTS_TIER_POLICY_WORLD_H_
+#endif  // SHELFLINK_TESTS_TIER_POLICY_SIMULATION_H_
