--- a/src/tier/policy/batch_limit.h
+++ b/src/tier/policy/batch_limit.h
@@ -18,35 +18,35 @@
   void SetSlots(int slots) {
     if (slots == slots_) return;
     slots_ = slots;
-    seats_ = std::max(kLeast, kFirstPart * slots);
+    limit_ = std::max(kMinLimit, kInitialFraction * slots);
   }
   // A call started at once, with so many batch calls there.
-  void NotePrompt(std::size_t calls) {
-    if (static_cast<double>(calls) + 1.0 < seats_) return;  // The limit did not bind.
-    seats_ = std::min(kMostPart * slots_, seats_ + kRise);
-    seats_ = std::max(kLeast, seats_);
+  void NoteImmediateStart(std::size_t batch_calls) {
+    if (static_cast<double>(batch_calls) + 1.0 < limit_) return;  // The limit did not bind.
+    limit_ = std::min(kMaxFraction * slots_, limit_ + kIncrease);
+    limit_ = std::max(kMinLimit, limit_);
   }
   // A call waited for a slot.
-  void NoteWait() { seats_ = std::max(kLeast, seats_ - kFall); }
+  void NoteWait() { limit_ = std::max(kMinLimit, limit_ - kWaitDecrease); }
   // The first event of a live call of this sidecar came late, at any endpoint of the service.
-  void NoteLiveLate() { seats_ = std::max(kLeast, seats_ - kLiveFall); }
+  void NoteLateLiveCall() { limit_ = std::max(kMinLimit, limit_ - kLateLiveDecrease); }
   // The endpoint turned a call away.
-  void NoteFull() { seats_ = std::max(kLeast, kFullFactor * seats_); }
+  void NoteRejected() { limit_ = std::max(kMinLimit, kRejectedFactor * limit_); }
 
   // At least 1.
-  double seats() const { return seats_; }
+  double value() const { return limit_; }
 
  private:
-  static constexpr double kFirstPart = 0.5;  // Of the slots.
-  static constexpr double kMostPart = 0.9;   // Of the slots.
-  static constexpr double kRise = 0.1;       // Seats.
-  static constexpr double kFall = 0.5;       // Seats.
-  static constexpr double kLiveFall = 0.25;  // Seats.
-  static constexpr double kFullFactor = 0.7;
-  static constexpr double kLeast = 1.0;  // Seats: batch never stands still.
+  static constexpr double kInitialFraction = 0.5;    // Of the slots.
+  static constexpr double kMaxFraction = 0.9;        // Of the slots.
+  static constexpr double kIncrease = 0.1;           // Seats.
+  static constexpr double kWaitDecrease = 0.5;       // Seats.
+  static constexpr double kLateLiveDecrease = 0.25;  // Seats.
+  static constexpr double kRejectedFactor = 0.7;
+  static constexpr double kMinLimit = 1.0;  // Seats: batch never stands still.
 
   int slots_ = 0;
-  double seats_ = kLeast;
+  double limit_ = kMinLimit;
 };
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/batch_owners.cpp
+++ b/src/tier/policy/batch_owners.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Of each sidecar on the ring: its part of the endpoints then differs by about a quarter.
-constexpr std::uint64_t kPoints = 16;
+constexpr std::uint64_t kPointsPerSidecar = 16;
 
 }  // namespace
 
@@ -18,26 +18,26 @@
   std::sort(sidecars.begin(), sidecars.end());
   if (sidecars == sidecars_) return false;
   sidecars_ = std::move(sidecars);
-  of_zone_.clear();
-  of_all_.clear();
+  rings_by_zone_.clear();
+  ring_of_all_zones_.clear();
   for (const Sidecar& sidecar : sidecars_) {
     const std::uint64_t node_hash = HashOf(sidecar.node);
-    Ring& zone = of_zone_[sidecar.zone];
-    for (std::uint64_t i = 0; i < kPoints; ++i) {
+    Ring& zone = rings_by_zone_[sidecar.zone];
+    for (std::uint64_t i = 0; i < kPointsPerSidecar; ++i) {
       const Point point{gaugecart::Mix(node_hash + i), node_hash};
       zone.push_back(point);
-      of_all_.push_back(point);
+      ring_of_all_zones_.push_back(point);
     }
   }
-  for (auto& [zone, ring] : of_zone_) std::sort(ring.begin(), ring.end());
-  std::sort(of_all_.begin(), of_all_.end());
+  for (auto& [zone, ring] : rings_by_zone_) std::sort(ring.begin(), ring.end());
+  std::sort(ring_of_all_zones_.begin(), ring_of_all_zones_.end());
   return true;
 }
 
 bool BatchOwners::Owns(const std::string& node, const std::string& endpoint_id,
                        const std::string& endpoint_zone) const {
-  const auto zone = of_zone_.find(endpoint_zone);
-  const Ring& ring = zone == of_zone_.end() ? of_all_ : zone->second;
+  const auto zone = rings_by_zone_.find(endpoint_zone);
+  const Ring& ring = zone == rings_by_zone_.end() ? ring_of_all_zones_ : zone->second;
   if (ring.empty()) return false;
   auto next = std::lower_bound(ring.begin(), ring.end(), Point{HashOf(endpoint_id), 0});
   if (next == ring.end()) next = ring.begin();
--- a/src/tier/policy/batch_owners.h
+++ b/src/tier/policy/batch_owners.h
@@ -32,15 +32,15 @@
 
  private:
   struct Point {
-    std::uint64_t at = 0;
+    std::uint64_t position = 0;
     std::uint64_t node_hash = 0;
     auto operator<=>(const Point&) const = default;  // NOLINT(modernize-use-nullptr): its error.
   };
   using Ring = std::vector<Point>;  // Sorted.
 
   std::vector<Sidecar> sidecars_;  // Sorted.
-  std::map<std::string, Ring> of_zone_;
-  Ring of_all_;
+  std::map<std::string, Ring> rings_by_zone_;
+  Ring ring_of_all_zones_;
 };
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/batch_start_delay.h
+++ b/src/tier/policy/batch_start_delay.h
@@ -11,20 +11,21 @@
 
 namespace shelflink::policy {
 
-class BatchStart {
+class BatchStartDelay {
  public:
   // A first event came `took` microseconds after the call was sent, `reading` of them for its
   // prompt as far as is known. Returns how long it waited beyond the least.
-  double Note(double took, double reading) {
-    const double start = std::max(0.0, took - reading);
-    least_ = least_ ? std::min(*least_ * kRise, start) : start;
-    return start - *least_;
+  double Note(double elapsed, double prefill) {
+    const double start_delay = std::max(0.0, elapsed - prefill);
+    minimum_ = minimum_ ? std::min(*minimum_ * kMinimumGrowth, start_delay) : start_delay;
+    return start_delay - *minimum_;
   }
 
  private:
-  static constexpr double kRise = 1.01;  // Of the least, with each call: it may have become longer.
+  static constexpr double kMinimumGrowth =
+      1.01;  // Of the least, with each call: it may have become longer.
 
-  std::optional<double> least_;  // Microseconds.
+  std::optional<double> minimum_;  // Microseconds.
 };
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/endpoint.cpp
+++ b/src/tier/policy/endpoint.cpp
@@ -9,22 +9,22 @@
 namespace {
 
 // A list that is behind goes on naming the instance that has lost its address.
-constexpr Micros kMisdirectedSpan = 10'000'000;
-constexpr double kLoadSpan = 2e6;  // Microseconds in which a told load is forgotten.
-constexpr double kPaceGain = 0.2;  // Weight of one first event in an endpoint's pace.
-constexpr double kPaceSpan = 5e6;  // Microseconds in which an old pace is forgotten.
-constexpr double kMostPace = 8.0;  // Slower than this tells no more.
+constexpr Micros kMisdirectedBackOff = 10'000'000;
+constexpr double kLoadReportDecay = 2e6;    // Microseconds in which a told load is forgotten.
+constexpr double kLatencyRatioGain = 0.2;   // Weight of one first event in an endpoint's pace.
+constexpr double kLatencyRatioDecay = 5e6;  // Microseconds in which an old pace is forgotten.
+constexpr double kMaxLatencyRatio = 8.0;    // Slower than this tells no more.
 // Of the slots that all calls take, beyond which no batch call is added.
-constexpr double kBatchPart = 0.8;
+constexpr double kBatchThresholdFraction = 0.8;
 // Batch prompts that an endpoint is given to read at once, among those of live calls.
-constexpr double kMostBatchUnread = 2.0;
-constexpr int kMostDoublings = 3;  // How often the rest of a full endpoint doubles.
+constexpr double kMaxBatchPrefills = 2.0;
+constexpr int kMaxBackOffDoublings = 3;  // How often the rest of a full endpoint doubles.
 
-std::uint64_t MemoryOf(const Call& call) {
+std::uint64_t KvTokensOf(const Call& call) {
   return std::uint64_t{call.prompt_tokens} + call.output_tokens;
 }
 
-std::pair<Micros, Micros> OverdueKey(const Attempt& attempt) {
+std::pair<Micros, Micros> TimeoutKey(const Attempt& attempt) {
   return {attempt.sent + attempt.first_event_timeout, attempt.first_event_timeout};
 }
 
@@ -35,7 +35,7 @@
 void Endpoint::Update(Micros now, const EndpointInfo& info, std::uint64_t kv_tokens) {
   if (!listed_) {
     cold_since_ = now;
-    last_sign_ = now;
+    last_activity_ = now;
   }
   info_ = info;
   listed_ = true;
@@ -44,121 +44,126 @@
   prefixes_.SetCapacity(kv_tokens);
 }
 
-void Endpoint::NoteMisdirected(Micros now) { unusable_until_ = now + kMisdirectedSpan; }
+void Endpoint::NoteMisdirected(Micros now) { unusable_until_ = now + kMisdirectedBackOff; }
 
 bool Endpoint::Usable(Micros now) const {
-  const bool drains = info_.draining && !Mutated(Mutant::kDeafToDrains);
-  return listed_ && !drains && now >= unusable_until_;
+  const bool draining = info_.draining && !Mutated(Mutant::kIgnoreDraining);
+  return listed_ && !draining && now >= unusable_until_;
 }
 
 void Endpoint::AddAttempt(Attempt& attempt, const Call& call) {
   ++calls_;
   if (call.batch) {
     ++batch_calls_;
-    ++batch_unread_;
+    ++batch_prefills_;
   }
-  unread_tokens_ += attempt.read_tokens;
-  output_tokens_ += attempt.output_tokens;
-  booked_output_tokens_ += call.output_tokens;
-  memory_tokens_ += MemoryOf(call);
-  first_events_due_.insert(OverdueKey(attempt));
+  queued_prefill_tokens_ += attempt.uncached_tokens;
+  remaining_output_tokens_ += attempt.remaining_output_tokens;
+  total_output_tokens_ += call.output_tokens;
+  kv_tokens_in_use_ += KvTokensOf(call);
+  timeouts_.insert(TimeoutKey(attempt));
   prefixes_.NoteSent(call.prompt);
 }
 
 void Endpoint::NoteFirstEvent(Micros now, Attempt& attempt, const Call& call) {
-  NoteSign(now);
-  rests_ = 0;
-  first_events_due_.erase(first_events_due_.find(OverdueKey(attempt)));
-  Subtract(unread_tokens_, attempt.read_tokens);
-  attempt.read_tokens = 0;
-  attempt.begun = true;
-  if (call.batch) --batch_unread_;
-  prefixes_.NoteRead(call.prompt);
+  NoteActivity(now);
+  consecutive_back_offs_ = 0;
+  timeouts_.erase(timeouts_.find(TimeoutKey(attempt)));
+  Subtract(queued_prefill_tokens_, attempt.uncached_tokens);
+  attempt.uncached_tokens = 0;
+  attempt.first_event_received = true;
+  if (call.batch) --batch_prefills_;
+  prefixes_.NotePrefilled(call.prompt);
 }
 
 void Endpoint::NoteProgress(Micros now, Attempt& attempt, std::uint32_t tokens) {
-  NoteSign(now);
-  const std::uint64_t done = std::min<std::uint64_t>(attempt.output_tokens, tokens);
-  attempt.output_tokens -= done;
-  Subtract(output_tokens_, done);
+  NoteActivity(now);
+  const std::uint64_t produced = std::min<std::uint64_t>(attempt.remaining_output_tokens, tokens);
+  attempt.remaining_output_tokens -= produced;
+  Subtract(remaining_output_tokens_, produced);
 }
 
 void Endpoint::RemoveAttempt(Attempt& attempt, const Call& call) {
   --calls_;
   if (call.batch) {
     --batch_calls_;
-    if (!attempt.begun) --batch_unread_;
+    if (!attempt.first_event_received) --batch_prefills_;
   }
-  if (!attempt.begun) first_events_due_.erase(first_events_due_.find(OverdueKey(attempt)));
-  Subtract(unread_tokens_, attempt.read_tokens);
-  Subtract(output_tokens_, attempt.output_tokens);
-  Subtract(booked_output_tokens_, call.output_tokens);
-  Subtract(memory_tokens_, MemoryOf(call));
+  if (!attempt.first_event_received) timeouts_.erase(timeouts_.find(TimeoutKey(attempt)));
+  Subtract(queued_prefill_tokens_, attempt.uncached_tokens);
+  Subtract(remaining_output_tokens_, attempt.remaining_output_tokens);
+  Subtract(total_output_tokens_, call.output_tokens);
+  Subtract(kv_tokens_in_use_, KvTokensOf(call));
 }
 
-void Endpoint::NoteSign(Micros now) { last_sign_ = std::max(last_sign_, now); }
+void Endpoint::NoteActivity(Micros now) { last_activity_ = std::max(last_activity_, now); }
 
-void Endpoint::NoteFull(Micros now, Micros rest) {
-  rest_until_ = now + (rest << std::min(rests_, kMostDoublings));
-  ++rests_;
+void Endpoint::BackOff(Micros now, Micros base_delay) {
+  back_off_until_ = now + (base_delay << std::min(consecutive_back_offs_, kMaxBackOffDoublings));
+  ++consecutive_back_offs_;
 }
 
-bool Endpoint::Silent(Micros now) const {
-  if (first_events_due_.empty() || Mutated(Mutant::kTrustSilence)) return false;
-  const auto [overdue_at, timeout] = *first_events_due_.begin();
-  return now >= overdue_at && now - last_sign_ >= timeout;
+bool Endpoint::Unresponsive(Micros now) const {
+  if (timeouts_.empty() || Mutated(Mutant::kIgnoreSilence)) return false;
+  const auto [timeout_at, timeout] = *timeouts_.begin();
+  return now >= timeout_at && now - last_activity_ >= timeout;
 }
 
 void Endpoint::NoteLoad(Micros now, std::uint32_t running, std::uint32_t waiting,
                         std::uint32_t slots) {
   if (slots > 0) slots_ = static_cast<int>(slots);
-  const double all = static_cast<double>(running) + waiting;
-  told_others_ = std::max(0.0, all - static_cast<double>(calls_));
-  told_waiting_ = std::min(told_others_, static_cast<double>(waiting));
-  told_at_ = now;
+  const double reported = static_cast<double>(running) + waiting;
+  reported_other_calls_ = std::max(0.0, reported - static_cast<double>(calls_));
+  reported_waiting_ = std::min(reported_other_calls_, static_cast<double>(waiting));
+  reported_at_ = now;
 }
 
-double Endpoint::BatchPart() const { return std::max(1.0, kBatchPart * slots_); }
+double Endpoint::BatchAdmissionThreshold() const {
+  return std::max(1.0, kBatchThresholdFraction * slots_);
+}
 
 double Endpoint::BatchRoom(Micros now) const {
-  if (!info_.owned_for_batch || !Usable(now) || Resting(now) || Silent(now)) return 0.0;
+  if (!info_.owned_for_batch || !Usable(now) || BackingOff(now) || Unresponsive(now)) return 0.0;
   if (health_.Avoided(now)) return 0.0;
-  const double seats = batch_limit_.seats() - static_cast<double>(batch_calls_);
-  const double slots = BatchPart() - Running(now);
-  const double unread = kMostBatchUnread - static_cast<double>(batch_unread_);
-  return std::max(0.0, std::min({seats, slots, unread}));
+  const double below_limit = batch_limit_.value() - static_cast<double>(batch_calls_);
+  const double below_threshold = BatchAdmissionThreshold() - WeightedCalls(now);
+  const double prefills_left = kMaxBatchPrefills - static_cast<double>(batch_prefills_);
+  return std::max(0.0, std::min({below_limit, below_threshold, prefills_left}));
 }
 
-double Endpoint::Others(Micros now) const {
-  return told_others_ * std::exp(-static_cast<double>(now - told_at_) / kLoadSpan);
+double Endpoint::OtherCalls(Micros now) const {
+  return reported_other_calls_ *
+         std::exp(-static_cast<double>(now - reported_at_) / kLoadReportDecay);
 }
 
-double Endpoint::OthersWaiting(Micros now) const {
-  return told_waiting_ * std::exp(-static_cast<double>(now - told_at_) / kLoadSpan);
+double Endpoint::OtherCallsWaiting(Micros now) const {
+  return reported_waiting_ * std::exp(-static_cast<double>(now - reported_at_) / kLoadReportDecay);
 }
 
-double Endpoint::Running(Micros now) const {
-  const auto own = static_cast<double>(calls_);
-  const double left = booked_output_tokens_ > 0 ? static_cast<double>(output_tokens_) /
-                                                      static_cast<double>(booked_output_tokens_)
-                                                : 1.0;
-  return Others(now) + own * 0.5 * (1.0 + left);
+double Endpoint::WeightedCalls(Micros now) const {
+  const auto own_calls = static_cast<double>(calls_);
+  const double remaining = total_output_tokens_ > 0
+                               ? static_cast<double>(remaining_output_tokens_) /
+                                     static_cast<double>(total_output_tokens_)
+                               : 1.0;
+  return OtherCalls(now) + own_calls * 0.5 * (1.0 + remaining);
 }
 
-void Endpoint::NotePace(Micros now, double ratio) {
-  const double present = Pace(now);
-  pace_ = present + kPaceGain * (std::min(kMostPace, ratio) - present);
-  pace_at_ = now;
+void Endpoint::NoteLatencyRatio(Micros now, double ratio) {
+  const double current = LatencyRatio(now);
+  latency_ratio_ = current + kLatencyRatioGain * (std::min(kMaxLatencyRatio, ratio) - current);
+  latency_ratio_at_ = now;
 }
 
-double Endpoint::Pace(Micros now) const {
-  return 1.0 + (pace_ - 1.0) * std::exp(-static_cast<double>(now - pace_at_) / kPaceSpan);
+double Endpoint::LatencyRatio(Micros now) const {
+  return 1.0 + (latency_ratio_ - 1.0) *
+                   std::exp(-static_cast<double>(now - latency_ratio_at_) / kLatencyRatioDecay);
 }
 
 double Endpoint::Coldness(Micros now) const {
   if (now >= info_.cold_until) return 0.0;
-  const auto whole = static_cast<double>(info_.cold_until - cold_since_);
-  return whole > 0 ? static_cast<double>(info_.cold_until - now) / whole : 1.0;
+  const auto warm_up = static_cast<double>(info_.cold_until - cold_since_);
+  return warm_up > 0 ? static_cast<double>(info_.cold_until - now) / warm_up : 1.0;
 }
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/endpoint.h
+++ b/src/tier/policy/endpoint.h
@@ -34,39 +34,39 @@
   void NoteProgress(Micros now, Attempt& attempt, std::uint32_t tokens);
   void RemoveAttempt(Attempt& attempt, const Call& call);
   // It has shown a sign of life.
-  void NoteSign(Micros now);
+  void NoteActivity(Micros now);
   // Turned the call away, or could not be connected to: passed over for `rest`, doubling.
-  void NoteFull(Micros now, Micros rest);
-  bool Resting(Micros now) const { return now < rest_until_; }
+  void BackOff(Micros now, Micros base_delay);
+  bool BackingOff(Micros now) const { return now < back_off_until_; }
   // A first event is overdue, and nothing has come from it for as long.
-  bool Silent(Micros now) const;
-  Micros last_sign() const { return last_sign_; }
+  bool Unresponsive(Micros now) const;
+  Micros last_activity() const { return last_activity_; }
 
   // Load.
   void NoteLoad(Micros now, std::uint32_t running, std::uint32_t waiting, std::uint32_t slots);
   // Calls of others there, as last told, fading.
-  double Others(Micros now) const;
+  double OtherCalls(Micros now) const;
   // Those of them that wait for a slot.
-  double OthersWaiting(Micros now) const;
+  double OtherCallsWaiting(Micros now) const;
   // All calls there; an own stream near its end weighs less.
-  double Running(Micros now) const;
+  double WeightedCalls(Micros now) const;
   int slots() const { return slots_; }
   std::size_t calls() const { return calls_; }
-  std::uint64_t unread_tokens() const { return unread_tokens_; }
-  std::uint64_t memory_tokens() const { return memory_tokens_; }
+  std::uint64_t queued_prefill_tokens() const { return queued_prefill_tokens_; }
+  std::uint64_t kv_tokens_in_use() const { return kv_tokens_in_use_; }
 
   // Batch calls.
   BatchLimit& batch_limit() { return batch_limit_; }
   const BatchLimit& batch_limit() const { return batch_limit_; }
   std::size_t batch_calls() const { return batch_calls_; }
   // Calls of any kind there, beyond which no batch call is added.
-  double BatchPart() const;
+  double BatchAdmissionThreshold() const;
   // More batch calls that may be sent there now; fractions included.
   double BatchRoom(Micros now) const;
 
   // Time to the first event against what was expected.
-  void NotePace(Micros now, double ratio);
-  double Pace(Micros now) const;
+  void NoteLatencyRatio(Micros now, double ratio);
+  double LatencyRatio(Micros now) const;
   // From 1 (just started) to 0.
   double Coldness(Micros now) const;
 
@@ -88,23 +88,23 @@
 
   std::size_t calls_ = 0;
   std::size_t batch_calls_ = 0;
-  std::size_t batch_unread_ = 0;  // Batch calls before their first event.
+  std::size_t batch_prefills_ = 0;  // Batch calls before their first event.
   BatchLimit batch_limit_;
-  std::uint64_t unread_tokens_ = 0;
-  std::uint64_t output_tokens_ = 0;         // Still to come on own calls.
-  std::uint64_t booked_output_tokens_ = 0;  // The same when they were sent.
-  std::uint64_t memory_tokens_ = 0;
-  std::multiset<std::pair<Micros, Micros>> first_events_due_;  // When, and after what time-out.
-  Micros last_sign_ = 0;
-  Micros rest_until_ = 0;
-  int rests_ = 0;
-
-  double told_others_ = 0.0;
-  double told_waiting_ = 0.0;
-  Micros told_at_ = 0;
-
-  double pace_ = 1.0;
-  Micros pace_at_ = 0;
+  std::uint64_t queued_prefill_tokens_ = 0;
+  std::uint64_t remaining_output_tokens_ = 0;  // Still to come on own calls.
+  std::uint64_t total_output_tokens_ = 0;      // The same when they were sent.
+  std::uint64_t kv_tokens_in_use_ = 0;
+  std::multiset<std::pair<Micros, Micros>> timeouts_;  // When, and after what time-out.
+  Micros last_activity_ = 0;
+  Micros back_off_until_ = 0;
+  int consecutive_back_offs_ = 0;
+
+  double reported_other_calls_ = 0.0;
+  double reported_waiting_ = 0.0;
+  Micros reported_at_ = 0;
+
+  double latency_ratio_ = 1.0;
+  Micros latency_ratio_at_ = 0;
   gaugecart::Health health_;
   PrefixCache prefixes_;
 };
--- a/src/tier/policy/first_event_model.cpp
+++ b/src/tier/policy/first_event_model.cpp
@@ -8,29 +8,29 @@
 
 // Prompts of one size tell nothing of what a token takes: below this part of the mean square their
 // spread is taken for noise.
-constexpr double kLeastSpread = 0.01;
+constexpr double kMinRelativeVariance = 0.01;
 
 // The least part of the mean time that is laid at the prompt's door: noise must not make reading
 // free.
-constexpr double kLeastReading = 0.05;
+constexpr double kMinPrefillShare = 0.05;
 
 }  // namespace
 
 void FirstEventModel::Note(double tokens, double micros) {
-  weight_ = kForget * weight_ + 1.0;
-  sum_x_ = kForget * sum_x_ + tokens;
-  sum_y_ = kForget * sum_y_ + micros;
-  sum_xx_ = kForget * sum_xx_ + tokens * tokens;
-  sum_xy_ = kForget * sum_xy_ + tokens * micros;
-  if (!Known()) return;
+  weight_ = kDecay * weight_ + 1.0;
+  sum_x_ = kDecay * sum_x_ + tokens;
+  sum_y_ = kDecay * sum_y_ + micros;
+  sum_xx_ = kDecay * sum_xx_ + tokens * tokens;
+  sum_xy_ = kDecay * sum_xy_ + tokens * micros;
+  if (!HasEnoughSamples()) return;
   const double mean_x = sum_x_ / weight_;
   const double mean_y = sum_y_ / weight_;
   const double variance = sum_xx_ / weight_ - mean_x * mean_x;
   const double covariance = sum_xy_ / weight_ - mean_x * mean_y;
   if (mean_x > 0) {
-    const double all_reading = mean_y / mean_x;
-    if (variance > kLeastSpread * sum_xx_ / weight_) per_token_ = covariance / variance;
-    per_token_ = std::clamp(per_token_, kLeastReading * all_reading, all_reading);
+    const double max_per_token = mean_y / mean_x;
+    if (variance > kMinRelativeVariance * sum_xx_ / weight_) per_token_ = covariance / variance;
+    per_token_ = std::clamp(per_token_, kMinPrefillShare * max_per_token, max_per_token);
   }
   base_ = std::max(0.0, mean_y - per_token_ * mean_x);
 }
--- a/src/tier/policy/first_event_model.h
+++ b/src/tier/policy/first_event_model.h
@@ -13,16 +13,16 @@
   double PerToken() const { return per_token_; }
   double Expected(double tokens) const { return base_ + per_token_ * tokens; }
   // Whether enough has been seen to judge an endpoint by it.
-  bool Known() const { return weight_ >= kLeastWeight; }
+  bool HasEnoughSamples() const { return weight_ >= kMinWeight; }
 
  private:
-  static constexpr double kForget = 0.98;  // Weight that a sample keeps with each that follows.
-  static constexpr double kLeastWeight = 4.0;
-  static constexpr double kFirstBase = 10'000.0;  // Microseconds; replaced by the first samples.
-  static constexpr double kFirstPerToken = 1.0;
+  static constexpr double kDecay = 0.98;  // Weight that a sample keeps with each that follows.
+  static constexpr double kMinWeight = 4.0;
+  static constexpr double kInitialBase = 10'000.0;  // Microseconds; replaced by the first samples.
+  static constexpr double kInitialPerToken = 1.0;
 
-  double base_ = kFirstBase;
-  double per_token_ = kFirstPerToken;
+  double base_ = kInitialBase;
+  double per_token_ = kInitialPerToken;
   double weight_ = 0.0;
   double sum_x_ = 0.0;
   double sum_y_ = 0.0;
--- a/src/tier/policy/long_prompt_pool.cpp
+++ b/src/tier/policy/long_prompt_pool.cpp
@@ -7,54 +7,58 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kLongPart = 0.1;           // Of the objective, from which on a prompt is long.
-constexpr double kKept = 0.999;             // Of a fading sum, with each call noted.
-constexpr std::size_t kLeastNoted = 100;    // Calls before the share is trusted.
-constexpr std::size_t kLeastEndpoints = 4;  // Fewer are not divided.
-constexpr double kLeastShare = 0.1;  // Of the time spent reading; below it nothing is kept apart.
-constexpr double kMostPart = 0.5;    // Of the endpoints.
+constexpr double kLongPrefillOfObjective =
+    0.1;                                  // Of the objective, from which on a prompt is long.
+constexpr double kDecay = 0.999;          // Of a fading sum, with each call noted.
+constexpr std::size_t kMinCalls = 100;    // Calls before the share is trusted.
+constexpr std::size_t kMinEndpoints = 4;  // Fewer are not divided.
+constexpr double kMinLongShare = 0.1;  // Of the time spent reading; below it nothing is kept apart.
+constexpr double kMaxPoolFraction = 0.5;  // Of the endpoints.
 // Endpoints for long prompts, by their share of the reading: less than in proportion, since calls
 // with short prompts run for longer than they are read.
-constexpr double kPartOfShare = 0.85;
-constexpr double kChange = 0.75;  // Endpoints by which the wish must differ before it is followed.
+constexpr double kPoolFractionOfShare = 0.85;
+constexpr double kResizeThreshold =
+    0.75;  // Endpoints by which the wish must differ before it is followed.
 
 }  // namespace
 
-void LongPrompts::SetEndpoints(std::vector<std::uint64_t> hashes) {
+void LongPromptPool::SetEndpoints(std::vector<std::uint64_t> hashes) {
   hashes_ = std::move(hashes);
   std::sort(hashes_.begin(), hashes_.end());
-  count_ = std::min(count_, hashes_.size());
-  Count();
+  size_ = std::min(size_, hashes_.size());
+  UpdateSize();
 }
 
-bool LongPrompts::IsLong(double reading_micros, double objective_micros) {
-  return reading_micros >= kLongPart * objective_micros;
+bool LongPromptPool::IsLong(double prefill_micros, double objective_micros) {
+  return prefill_micros >= kLongPrefillOfObjective * objective_micros;
 }
 
-void LongPrompts::Note(double reading_micros, double objective_micros) {
-  const bool is_long = IsLong(reading_micros, objective_micros);
-  all_reading_ = kKept * all_reading_ + reading_micros;
-  long_reading_ = kKept * long_reading_ + (is_long ? reading_micros : 0.0);
-  ++noted_;
-  Count();
+void LongPromptPool::Note(double prefill_micros, double objective_micros) {
+  const bool is_long = IsLong(prefill_micros, objective_micros);
+  total_prefill_micros_ = kDecay * total_prefill_micros_ + prefill_micros;
+  long_prefill_micros_ = kDecay * long_prefill_micros_ + (is_long ? prefill_micros : 0.0);
+  ++calls_;
+  UpdateSize();
 }
 
-void LongPrompts::Count() {
-  const double share = all_reading_ > 0 ? long_reading_ / all_reading_ : 0.0;
-  if (noted_ < kLeastNoted || hashes_.size() < kLeastEndpoints || share < kLeastShare) {
-    count_ = 0;
+void LongPromptPool::UpdateSize() {
+  const double share =
+      total_prefill_micros_ > 0 ? long_prefill_micros_ / total_prefill_micros_ : 0.0;
+  if (calls_ < kMinCalls || hashes_.size() < kMinEndpoints || share < kMinLongShare) {
+    size_ = 0;
     return;
   }
-  const double all = static_cast<double>(hashes_.size());
-  const double wish = std::clamp(kPartOfShare * share * all, 1.0, kMostPart * all);
-  if (count_ == 0 || std::abs(wish - static_cast<double>(count_)) > kChange) {
-    count_ = static_cast<std::size_t>(std::lround(wish));
+  const double endpoints = static_cast<double>(hashes_.size());
+  const double desired =
+      std::clamp(kPoolFractionOfShare * share * endpoints, 1.0, kMaxPoolFraction * endpoints);
+  if (size_ == 0 || std::abs(desired - static_cast<double>(size_)) > kResizeThreshold) {
+    size_ = static_cast<std::size_t>(std::lround(desired));
   }
 }
 
-bool LongPrompts::Holds(std::uint64_t endpoint_hash) const {
-  if (count_ == 0) return false;
-  return endpoint_hash <= hashes_[count_ - 1];
+bool LongPromptPool::Contains(std::uint64_t endpoint_hash) const {
+  if (size_ == 0) return false;
+  return endpoint_hash <= hashes_[size_ - 1];
 }
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/long_prompt_pool.h
+++ b/src/tier/policy/long_prompt_pool.h
@@ -10,29 +10,29 @@
 
 namespace shelflink::policy {
 
-class LongPrompts {
+class LongPromptPool {
  public:
   // Hashes of the endpoints in service; which of them are for long prompts depends on nothing else
   // than these and the share.
   void SetEndpoints(std::vector<std::uint64_t> hashes);
   // A prompt is long if reading it takes this part of the objective or more.
-  static bool IsLong(double reading_micros, double objective_micros);
+  static bool IsLong(double prefill_micros, double objective_micros);
   // A call has been sent whose prompt takes so long to read.
-  void Note(double reading_micros, double objective_micros);
+  void Note(double prefill_micros, double objective_micros);
   // Whether long prompts are kept apart at all.
-  bool separates() const { return count_ > 0; }
+  bool active() const { return size_ > 0; }
   // Whether the endpoint is one of those for long prompts.
-  bool Holds(std::uint64_t endpoint_hash) const;
-  std::size_t count() const { return count_; }
+  bool Contains(std::uint64_t endpoint_hash) const;
+  std::size_t size() const { return size_; }
 
  private:
-  void Count();
+  void UpdateSize();
 
   std::vector<std::uint64_t> hashes_;  // Sorted.
-  double long_reading_ = 0.0;          // Fading sums of time.
-  double all_reading_ = 0.0;
-  std::size_t noted_ = 0;
-  std::size_t count_ = 0;
+  double long_prefill_micros_ = 0.0;   // Fading sums of time.
+  double total_prefill_micros_ = 0.0;
+  std::size_t calls_ = 0;
+  std::size_t size_ = 0;
 };
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/module.cpp
+++ b/src/tier/policy/module.cpp
@@ -18,21 +18,23 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kWaitFraction = 0.05;   // Longest wait in a queue, as part of the timeout...
-constexpr double kWaitObjective = 0.25;  // ...and of the objective: later a refusal is late.
-constexpr double kStartFactor = 2.0;     // First limit, in even shares of all endpoints' slots.
-constexpr double kFloorFactor = 0.5;     // The least the limit falls to, likewise.
-constexpr double kSurePart = 0.25;       // Part of its pool that a lower level may use in any case.
+constexpr double kMaxWaitPerTimeout = 0.05;    // Longest wait in a queue, as part of the timeout...
+constexpr double kMaxWaitPerObjective = 0.25;  // ...and of the objective: later a refusal is late.
+constexpr double kInitialLimitFactor = 2.0;  // First limit, in even shares of all endpoints' slots.
+constexpr double kMinLimitFactor = 0.5;      // The least the limit falls to, likewise.
+constexpr double kReservedSlotShare =
+    0.25;  // Part of its pool that a lower level may use in any case.
 constexpr double kFirstEventFactor = 4.0;  // Expected times to a first event until it is overdue...
-constexpr double kShortestFirstEventTimeout = 0.25;  // ...at least so many objectives...
-constexpr double kLongestFirstEventTimeout = 2.0;    // ...and at most so many.
-constexpr double kBatchFirstEvent = 5.0;  // Of batch calls, which endpoints let wait for others.
-constexpr double kLeastOffer = 0.1;       // Objectives that a retry must have left.
-constexpr double kAdviceLeast = 0.5;      // Objectives after which a refused call may come back...
-constexpr double kAdviceSpread = 1.0;     // ...and so many more, drawn for each...
-constexpr double kAdviceMost = 0.25;      // ...but never beyond this part of its time left.
-Micros Part(double part, Micros span) {
-  return static_cast<Micros>(part * static_cast<double>(span));
+constexpr double kMinFirstEventTimeout = 0.25;  // ...at least so many objectives...
+constexpr double kMaxFirstEventTimeout = 2.0;   // ...and at most so many.
+constexpr double kBatchFirstEventTimeout =
+    5.0;                                   // Of batch calls, which endpoints let wait for others.
+constexpr double kMinRetryTime = 0.1;      // Objectives that a retry must have left.
+constexpr double kRetryAfterMin = 0.5;     // Objectives after which a refused call may come back...
+constexpr double kRetryAfterSpread = 1.0;  // ...and so many more, drawn for each...
+constexpr double kRetryAfterMaxShare = 0.25;  // ...but never beyond this part of its time left.
+Micros Scale(double fraction, Micros span) {
+  return static_cast<Micros>(fraction * static_cast<double>(span));
 }
 
 }  // namespace
@@ -40,131 +42,134 @@
 class Module::Impl {
  public:
   Impl(std::uint64_t seed, Actions& actions)
-      : seed_(seed), actions_(actions), learning_(seed, services_, levels_, retry_budget_) {}
+      : seed_(seed), actions_(actions), feedback_(seed, services_, levels_, retry_budget_) {}
 
   void OnConfig(Micros now, const ModuleConfig& config) {
-    Advance(now);
+    SetTime(now);
     config_ = config;
     levels_.SetCount(std::max(1U, config.levels));
     services_.SetConfig(config);
-    UpdateHints();
-    Settle();
+    UpdateLimits();
+    DispatchAll();
   }
 
   void OnService(Micros now, const ServiceInfo& info) {
-    Advance(now);
+    SetTime(now);
     services_.Set(info);
-    UpdateHints();
-    Settle();
+    UpdateLimits();
+    DispatchAll();
   }
 
   void OnServiceRemoved(Micros now, const std::string& name) {
-    Advance(now);
+    SetTime(now);
     if (!services_.Remove(name)) return;
-    UpdateHints();
-    Settle();
+    UpdateLimits();
+    DispatchAll();
   }
 
   void OnCall(Micros now, const Call& call) {
-    Advance(now);
-    const auto [it, fresh] = calls_.try_emplace(call.id);
-    if (!fresh) return;  // An id never comes twice; a repeat changes nothing.
-    HeldCall& held = it->second;
-    held.call = call;
-    if (Mutated(Mutant::kOneFlow)) held.call.flow = 0;
-    held.call.level =
+    SetTime(now);
+    const auto [it, inserted] = calls_.try_emplace(call.id);
+    if (!inserted) return;  // An id never comes twice; a repeat changes nothing.
+    PendingCall& pending = it->second;
+    pending.call = call;
+    if (Mutated(Mutant::kSingleFlow)) pending.call.flow = 0;
+    pending.call.level =
         static_cast<std::uint32_t>(std::min<std::size_t>(call.level, levels_.count() - 1));
-    if (calls_.size() > config_.max_pending_calls || !services_.CanServe(call.service))
-      return Refuse(held);
-    const std::uint32_t level = held.call.level;
-    Learning::NoteUsual(services_.At(call.service).facts, call);
+    if (calls_.size() > config_.max_calls || !services_.CanServe(call.service))
+      return Refuse(pending);
+    const std::uint32_t level = pending.call.level;
+    OutcomeFeedback::NoteArrival(services_.At(call.service).stats, call);
     levels_.NoteArrival(now, level);
-    held.queued = true;
-    const auto shed = levels_.Enqueue(level, {call.id, held.call.flow, call.deadline});
+    pending.queued = true;
+    const auto shed = levels_.Enqueue(level, {call.id, pending.call.flow, call.deadline});
     if (shed) Refuse(calls_.at(*shed));
-    Pump(level);
-    WaitOrRefuse(call.id);
+    Dispatch(level);
+    QueueOrRefuse(call.id);
     ArmTimer();
   }
 
   void OnFirstEvent(Micros now, CallId id, std::uint32_t number) {
-    Advance(now);
-    HeldCall* held = Find(id);
-    Attempt* attempt = OutAttempt(held, number);
-    if (attempt != nullptr && !attempt->begun) Begin(*held, *attempt);
+    SetTime(now);
+    PendingCall* pending = FindCall(id);
+    Attempt* attempt = AttemptInFlight(pending, number);
+    if (attempt != nullptr && !attempt->first_event_received) RecordFirstEvent(*pending, *attempt);
   }
 
   void OnProgress(Micros now, CallId id, std::uint32_t number, std::uint32_t tokens) {
-    Advance(now);
-    Attempt* attempt = OutAttempt(Find(id), number);
+    SetTime(now);
+    Attempt* attempt = AttemptInFlight(FindCall(id), number);
     if (attempt != nullptr) attempt->endpoint->NoteProgress(now, *attempt, tokens);
   }
 
-  void OnOutcome(Micros now, CallId id, std::uint32_t number, Outcome outcome, bool again) {
-    Advance(now);
-    HeldCall* held = Find(id);
-    Attempt* attempt = OutAttempt(held, number);
+  void OnOutcome(Micros now, CallId id, std::uint32_t number, Outcome outcome, bool may_continue) {
+    SetTime(now);
+    PendingCall* pending = FindCall(id);
+    Attempt* attempt = AttemptInFlight(pending, number);
     if (attempt == nullptr) return;
     // What was never sent and is not to go on was given up on this side.
-    const bool given_up = outcome == Outcome::kNeverSent && !again;
-    Learn(*held, *attempt, given_up ? Outcome::kCancelled : outcome);
-    attempt->turned_away = outcome == Outcome::kNotRun || outcome == Outcome::kMisdirected;
-    Finish(*held, *attempt);
-    if (!CountsAsSend(outcome)) --held->sends;
-    if (!ProvesUnrun(outcome)) held->may_have_run = true;
-    if (!again) {
+    const bool cancelled = outcome == Outcome::kNeverSent && !may_continue;
+    RecordOutcome(*pending, *attempt, cancelled ? Outcome::kCancelled : outcome);
+    attempt->rejected = outcome == Outcome::kNotRun || outcome == Outcome::kMisdirected;
+    FinishAttempt(*pending, *attempt);
+    if (!CountsAsSend(outcome)) --pending->sends;
+    if (!ProvesNotRun(outcome)) pending->may_have_run = true;
+    if (!may_continue) {
       calls_.erase(id);
-    } else if (!Retry(*held, outcome)) {
-      End(*held);
+    } else if (!Retry(*pending, outcome)) {
+      RefuseOrFail(*pending);
     }
-    Settle();
+    DispatchAll();
   }
 
   void OnAbandoned(Micros now, CallId id) {
-    Advance(now);
-    HeldCall* held = Find(id);
-    if (held == nullptr) return;
-    for (Attempt& attempt : held->attempts) {
-      if (!attempt.out) continue;
+    SetTime(now);
+    PendingCall* pending = FindCall(id);
+    if (pending == nullptr) return;
+    for (Attempt& attempt : pending->attempts) {
+      if (!attempt.in_flight) continue;
       // A caller that left because nothing came tells what a time-out tells.
-      const bool overdue = !attempt.begun && now - attempt.sent >= attempt.first_event_timeout;
-      Learn(*held, attempt, overdue ? Outcome::kTimeout : Outcome::kCancelled);
-      Finish(*held, attempt);
+      const bool overdue =
+          !attempt.first_event_received && now - attempt.sent >= attempt.first_event_timeout;
+      RecordOutcome(*pending, attempt, overdue ? Outcome::kTimeout : Outcome::kCancelled);
+      FinishAttempt(*pending, attempt);
     }
-    Forget(*held);
-    Settle();
+    RemoveCall(*pending);
+    DispatchAll();
   }
 
   void OnLoad(Micros now, const std::string& id, std::uint32_t running, std::uint32_t waiting,
               std::uint32_t slots) {
-    Advance(now);
+    SetTime(now);
     services_.NoteLoad(id, running, waiting, slots);
   }
 
   void OnTimer(Micros now) {
-    Advance(now);
+    SetTime(now);
     deadlines_.Run(now, [&](CallId id) {
-      HeldCall* held = Find(id);
-      if (held != nullptr && held->queued) Refuse(*held);
+      PendingCall* pending = FindCall(id);
+      if (pending != nullptr && pending->queued) Refuse(*pending);
     });
-    Settle();
+    DispatchAll();
   }
 
   bool CanRetryElsewhere(Micros now, CallId id, std::uint32_t number) {
-    HeldCall* held = Find(id);
-    const Attempt* attempt = OutAttempt(held, number);
-    if (attempt == nullptr || !held->call.repeatable) return false;
-    if (!HasAttemptsLeft(*held, now) || !retry_budget_.Has()) return false;
-    if (held->call.deadline - now < Part(kLeastOffer, ObjectiveOf(held->call))) return false;
-    Service& service = services_.At(held->call.service);
-    return Picker::HasOther(now, *held, MembersFor(now, *held, service), *attempt->endpoint);
+    PendingCall* pending = FindCall(id);
+    const Attempt* attempt = AttemptInFlight(pending, number);
+    if (attempt == nullptr || !pending->call.repeatable) return false;
+    if (!HasAttemptsLeft(*pending, now) || !retry_budget_.Has()) return false;
+    if (pending->call.deadline - now < Scale(kMinRetryTime, ObjectiveOf(pending->call)))
+      return false;
+    Service& service = services_.At(pending->call.service);
+    return Picker::HasAlternative(now, *pending, CandidatesFor(now, *pending, service),
+                                  *attempt->endpoint);
   }
 
   BatchState batch() const { return services_.batch(); }
 
   std::uint32_t Room(Micros now, std::uint32_t level) const {
     if (level >= levels_.count() || levels_.waiting(level) > 0) return 0;
-    if (Mutated(Mutant::kBatchUnbounded)) return 1000;
+    if (Mutated(Mutant::kUnboundedBatch)) return 1000;
     const std::size_t in_flight = levels_.in_flight(level);
     if (levels_.IsBatch(level)) return BatchRoom(now, in_flight);
     const double room = levels_.LimitOf(now, level) - static_cast<double>(in_flight);
@@ -172,16 +177,16 @@
   }
 
  private:
-  void Advance(Micros now) {
+  void SetTime(Micros now) {
     now_ = now;
     services_.SetNow(now);
   }
 
-  void UpdateHints() {
-    const double share = services_.EvenShare(services_.AllSlots());
-    levels_.StartFrom(kStartFactor * share);
-    levels_.SetFloor(kFloorFactor * share);
-    levels_.SetBatchSeats(services_.BatchSlots());
+  void UpdateLimits() {
+    const double share = services_.EvenShare(services_.TotalSlots());
+    levels_.SetInitialLimit(kInitialLimitFactor * share);
+    levels_.SetMinLimit(kMinLimitFactor * share);
+    levels_.SetBatchLimit(services_.BatchSlots());
     services_.ShareConnections();
   }
 
@@ -190,44 +195,44 @@
       if (const std::uint32_t room = services_.BatchRoom(now); room > 0) return room;
     }
     // Where live calls wait or slots are short, one at a time: batch is not to stand still.
-    if (Mutated(Mutant::kStarveOthers)) return 0;
+    if (Mutated(Mutant::kStarveLowerLevels)) return 0;
     return in_flight == 0 && services_.CanRunBatch(now) ? 1 : 0;
   }
 
   // ---- Calls ----
 
-  HeldCall* Find(CallId id) {
+  PendingCall* FindCall(CallId id) {
     const auto it = calls_.find(id);
     return it == calls_.end() ? nullptr : &it->second;
   }
 
-  static Attempt* OutAttempt(HeldCall* held, std::uint32_t number) {
-    if (held == nullptr || number >= held->attempts.size()) return nullptr;
-    return held->attempts[number].out ? &held->attempts[number] : nullptr;
+  static Attempt* AttemptInFlight(PendingCall* pending, std::uint32_t number) {
+    if (pending == nullptr || number >= pending->attempts.size()) return nullptr;
+    return pending->attempts[number].in_flight ? &pending->attempts[number] : nullptr;
   }
 
-  Micros LongestWait(const HeldCall& held) const {
-    const Call& call = held.call;
-    if (Mutated(Mutant::kWaitLong)) return call.deadline - now_;
+  Micros MaxQueueWait(const PendingCall& pending) const {
+    const Call& call = pending.call;
+    if (Mutated(Mutant::kUnboundedWait)) return call.deadline - now_;
     if (call.batch || call.timeout <= 0) return 0;  // Batch items wait in the store.
-    Micros wait =
-        std::min(Part(kWaitFraction, call.timeout), Part(kWaitObjective, ObjectiveOf(call)));
+    Micros wait = std::min(Scale(kMaxWaitPerTimeout, call.timeout),
+                           Scale(kMaxWaitPerObjective, ObjectiveOf(call)));
     // Leave the work its usual time: a wait that eats it wins nothing.
     if (call.deadline != kNever)
-      wait = std::min(wait, call.deadline - now_ - levels_.UsualSpan(call.level));
+      wait = std::min(wait, call.deadline - now_ - levels_.TypicalSeatTime(call.level));
     return wait;
   }
 
-  void WaitOrRefuse(CallId id) {
-    HeldCall* held = Find(id);
-    if (held == nullptr || !held->queued) return;
-    const Micros wait = LongestWait(*held);
-    if (wait <= 0) return Refuse(*held);
+  void QueueOrRefuse(CallId id) {
+    PendingCall* pending = FindCall(id);
+    if (pending == nullptr || !pending->queued) return;
+    const Micros wait = MaxQueueWait(*pending);
+    if (wait <= 0) return Refuse(*pending);
     deadlines_.Add(now_ + wait, id);
   }
 
-  void Settle() {
-    for (std::uint32_t level = 0; level < levels_.kept(); ++level) Pump(level);
+  void DispatchAll() {
+    for (std::uint32_t level = 0; level < levels_.allocated_count(); ++level) Dispatch(level);
     ArmTimer();
   }
 
@@ -235,143 +240,152 @@
     deadlines_.Arm([&](Micros at) { actions_.SetTimer(at); });
   }
 
-  void Pump(std::uint32_t level) {
+  void Dispatch(std::uint32_t level) {
     while (const auto next = levels_.Next(now_, level)) {
-      HeldCall* held = Find(next->request);
-      if (held == nullptr) continue;
-      held->last_slots = MayTakeLastSlots(held->call);
-      const Choice choice = now_ < held->call.deadline ? Pick(*held) : Choice{};
-      if (choice.crowded && !held->call.batch) return levels_.PutBack(level, *next);
-      held->queued = false;
+      PendingCall* pending = FindCall(next->request);
+      if (pending == nullptr) continue;
+      pending->may_use_reserved_slots = MayUseReservedSlots(pending->call);
+      const Choice choice = now_ < pending->call.deadline ? Pick(*pending) : Choice{};
+      if (choice.only_reserved_slots && !pending->call.batch) return levels_.PutBack(level, *next);
+      pending->queued = false;
       if (choice.endpoint != nullptr) {
-        Send(*held, *choice.endpoint);
+        Send(*pending, *choice.endpoint);
       } else {
-        Refuse(*held);
+        Refuse(*pending);
       }
     }
   }
 
   // The last slots of an endpoint are left to the first level, but for so few calls of the others
   // that none of them is starved while the first takes all there is.
-  bool MayTakeLastSlots(const Call& call) const {
-    const std::size_t out = levels_.in_flight(call.level);
+  bool MayUseReservedSlots(const Call& call) const {
+    const std::size_t in_flight = levels_.in_flight(call.level);
     if (call.level == 0) return true;
-    if (Mutated(Mutant::kStarveOthers)) return false;
-    if (call.batch) return out == 0;
-    return static_cast<double>(out) + 1.0 <= kSurePart * levels_.LimitOf(now_, call.level);
+    if (Mutated(Mutant::kStarveLowerLevels)) return false;
+    if (call.batch) return in_flight == 0;
+    return static_cast<double>(in_flight) + 1.0 <=
+           kReservedSlotShare * levels_.LimitOf(now_, call.level);
   }
 
-  Choice Pick(const HeldCall& held) {
-    Service* service = services_.Find(held.call.service);
+  Choice Pick(const PendingCall& pending) {
+    Service* service = services_.Find(pending.call.service);
     if (service == nullptr) return {};
-    return service->picker.Pick(now_, held, MembersFor(now_, held, *service), service->facts);
+    return service->picker.Pick(now_, pending, CandidatesFor(now_, pending, *service),
+                                service->stats);
   }
 
-  const std::vector<Endpoint*>& MembersFor(Micros now, const HeldCall& held,
-                                           Service& service) const {
-    if (!held.call.batch) return service.subset.Members(now);
-    return services_.BatchMembers(now, service, held.last_slots);
+  const std::vector<Endpoint*>& CandidatesFor(Micros now, const PendingCall& pending,
+                                              Service& service) const {
+    if (!pending.call.batch) return service.subset.Members(now);
+    return services_.BatchCandidates(now, service, pending.may_use_reserved_slots);
   }
 
-  void Send(HeldCall& held, Endpoint& endpoint) {
-    const Call& call = held.call;
+  void Send(PendingCall& pending, Endpoint& endpoint) {
+    const Call& call = pending.call;
     Service& service = services_.At(call.service);
     Attempt attempt;
     attempt.endpoint = &endpoint;
     attempt.endpoint_hash = endpoint.hash();
     attempt.sent = now_;
-    attempt.read_tokens = Picker::ReadTokens(call, endpoint);
-    attempt.model_tokens = static_cast<double>(attempt.read_tokens + endpoint.unread_tokens());
-    attempt.output_tokens = call.output_tokens;
-    attempt.first_event_timeout = FirstEventTimeout(call, service.facts, attempt.model_tokens);
+    attempt.uncached_tokens = Picker::UncachedTokens(call, endpoint);
+    attempt.tokens_to_first_event =
+        static_cast<double>(attempt.uncached_tokens + endpoint.queued_prefill_tokens());
+    attempt.remaining_output_tokens = call.output_tokens;
+    attempt.first_event_timeout =
+        FirstEventTimeout(call, service.stats, attempt.tokens_to_first_event);
     endpoint.AddAttempt(attempt, call);
     endpoint.health().StartTrial();
     levels_.Start(call.level);
     ++service.in_flight;
-    if (held.sends == 0 && !call.batch && service.facts.first_event.Known()) {
-      service.facts.long_prompts.Note(Picker::OwnReading(call, service.facts),
-                                      static_cast<double>(ObjectiveOf(call)));
+    if (pending.sends == 0 && !call.batch && service.stats.first_event.HasEnoughSamples()) {
+      service.stats.long_prompt_pool.Note(Picker::UnsharedPrefillTime(call, service.stats),
+                                          static_cast<double>(ObjectiveOf(call)));
     }
-    ++held.sends;
+    ++pending.sends;
     service.subset.NoteInFlight(now_, service.in_flight, PrefixOf(call));
-    held.attempts.push_back(attempt);
-    actions_.Send(call.id, static_cast<std::uint32_t>(held.attempts.size() - 1),
+    pending.attempts.push_back(attempt);
+    actions_.Send(call.id, static_cast<std::uint32_t>(pending.attempts.size() - 1),
                   endpoint.info().id);
   }
 
-  static Micros FirstEventTimeout(const Call& call, const ServiceFacts& facts, double tokens) {
+  static Micros FirstEventTimeout(const Call& call, const ServiceStats& stats, double tokens) {
     const Micros objective = ObjectiveOf(call);
-    if (call.batch) return Part(kBatchFirstEvent, objective);
-    if (!facts.first_event.Known()) return Part(kLongestFirstEventTimeout, objective);
+    if (call.batch) return Scale(kBatchFirstEventTimeout, objective);
+    if (!stats.first_event.HasEnoughSamples()) return Scale(kMaxFirstEventTimeout, objective);
     const auto timeout =
-        static_cast<Micros>(kFirstEventFactor * facts.first_event.Expected(tokens));
-    return std::clamp(timeout, Part(kShortestFirstEventTimeout, objective),
-                      Part(kLongestFirstEventTimeout, objective));
+        static_cast<Micros>(kFirstEventFactor * stats.first_event.Expected(tokens));
+    return std::clamp(timeout, Scale(kMinFirstEventTimeout, objective),
+                      Scale(kMaxFirstEventTimeout, objective));
   }
 
   // The attempt is over; its seat and what it held at the endpoint are free.
-  void Finish(HeldCall& held, Attempt& attempt) {
-    attempt.endpoint->RemoveAttempt(attempt, held.call);
+  void FinishAttempt(PendingCall& pending, Attempt& attempt) {
+    attempt.endpoint->RemoveAttempt(attempt, pending.call);
     attempt.endpoint = nullptr;
-    attempt.out = false;
-    levels_.Finish(held.call.level);
-    services_.NoteFinished(held.call.service);
+    attempt.in_flight = false;
+    levels_.Finish(pending.call.level);
+    services_.NoteFinished(pending.call.service);
   }
 
-  bool Retry(HeldCall& held, Outcome outcome) {
-    if (!MaySendAgain(held, now_)) return false;
-    if (held.call.deadline - now_ < Part(kLeastOffer, ObjectiveOf(held.call))) return false;
+  bool Retry(PendingCall& pending, Outcome outcome) {
+    if (!MaySendAgain(pending, now_)) return false;
+    if (pending.call.deadline - now_ < Scale(kMinRetryTime, ObjectiveOf(pending.call)))
+      return false;
     // What never reached an endpoint has cost none any work: it needs no token.
-    const bool costs = CountsAsSend(outcome);
-    if (costs && !retry_budget_.Has() && !Mutated(Mutant::kNoRetryBudget)) return false;
-    Endpoint* endpoint = Pick(held).endpoint;
+    const bool uses_budget = CountsAsSend(outcome);
+    if (uses_budget && !retry_budget_.Has() && !Mutated(Mutant::kNoRetryBudget)) return false;
+    Endpoint* endpoint = Pick(pending).endpoint;
     if (endpoint == nullptr) return false;
-    if (costs) retry_budget_.Spend();
-    Send(held, *endpoint);
+    if (uses_budget) retry_budget_.Spend();
+    Send(pending, *endpoint);
     return true;
   }
 
-  void End(HeldCall& held) {
-    if (!held.may_have_run || Mutated(Mutant::kRefuseFailures)) return Refuse(held);
-    actions_.Fail(held.call.id);
-    Forget(held);
+  void RefuseOrFail(PendingCall& pending) {
+    if (!pending.may_have_run || Mutated(Mutant::kRefuseFailures)) return Refuse(pending);
+    actions_.Fail(pending.call.id);
+    RemoveCall(pending);
   }
 
-  void Refuse(HeldCall& held) {
-    actions_.Refuse(held.call.id, RetryAfter(held.call));
-    Forget(held);
+  void Refuse(PendingCall& pending) {
+    actions_.Refuse(pending.call.id, RetryAfter(pending.call));
+    RemoveCall(pending);
   }
 
   // Those refused at one moment must not all be back at one moment.
   Micros RetryAfter(const Call& call) const {
-    const double draw = gaugecart::Unit(gaugecart::Mix(seed_ ^ call.id));
-    const Micros advice = Part(kAdviceLeast + kAdviceSpread * draw, ObjectiveOf(call));
-    if (call.deadline == kNever) return advice;
-    return std::min(advice, std::max<Micros>(0, Part(kAdviceMost, call.deadline - now_)));
+    const double jitter = gaugecart::Unit(gaugecart::Mix(seed_ ^ call.id));
+    const Micros retry_after =
+        Scale(kRetryAfterMin + kRetryAfterSpread * jitter, ObjectiveOf(call));
+    if (call.deadline == kNever) return retry_after;
+    return std::min(retry_after,
+                    std::max<Micros>(0, Scale(kRetryAfterMaxShare, call.deadline - now_)));
   }
 
-  void Forget(HeldCall& held) {
-    if (held.queued) levels_.Remove(held.call.level, held.call.id, held.call.flow);
-    calls_.erase(held.call.id);
+  void RemoveCall(PendingCall& pending) {
+    if (pending.queued) levels_.Remove(pending.call.level, pending.call.id, pending.call.flow);
+    calls_.erase(pending.call.id);
   }
 
   // The attempt's prompt has been read, whatever else its first event tells.
-  void Begin(const HeldCall& held, Attempt& attempt) { learning_.NoteBegun(now_, held, attempt); }
+  void RecordFirstEvent(const PendingCall& pending, Attempt& attempt) {
+    feedback_.NoteFirstEvent(now_, pending, attempt);
+  }
 
-  void Learn(const HeldCall& held, Attempt& attempt, Outcome outcome) {
-    learning_.NoteOutcome(now_, held, attempt, outcome);
+  void RecordOutcome(const PendingCall& pending, Attempt& attempt, Outcome outcome) {
+    feedback_.NoteOutcome(now_, pending, attempt, outcome);
   }
 
   std::uint64_t seed_;
   Actions& actions_;
   Micros now_ = 0;
   ModuleConfig config_;
-  Levels levels_;
+  PriorityLevels levels_;
   Services services_;
-  std::unordered_map<CallId, HeldCall> calls_;
+  std::unordered_map<CallId, PendingCall> calls_;
   gaugecart::Deadlines<CallId> deadlines_;
   gaugecart::RetryBudget retry_budget_;
-  Learning learning_;
+  OutcomeFeedback feedback_;
 };
 
 Module::Module(std::uint64_t seed, Actions& actions)
@@ -391,8 +405,8 @@
   impl_->OnProgress(now, call, attempt, tokens);
 }
 void Module::OnOutcome(Micros now, CallId call, std::uint32_t attempt, Outcome outcome,
-                       bool again) {
-  impl_->OnOutcome(now, call, attempt, outcome, again);
+                       bool may_continue) {
+  impl_->OnOutcome(now, call, attempt, outcome, may_continue);
 }
 void Module::OnAbandoned(Micros now, CallId call) { impl_->OnAbandoned(now, call); }
 void Module::OnLoad(Micros now, const std::string& endpoint, std::uint32_t running,
--- a/src/tier/policy/module.h
+++ b/src/tier/policy/module.h
@@ -38,9 +38,9 @@
 struct ModuleConfig {
   std::string node;
   std::string zone;
-  std::uint32_t sidecars = 1;  // Ready ones, this one among them.
-  std::uint32_t levels = 1;    // Priority levels, 0 the most urgent; the last one is batch's.
-  std::size_t max_pending_calls = 4096;  // Calls held in all; what comes beyond is refused.
+  std::uint32_t sidecars = 1;    // Ready ones, this one among them.
+  std::uint32_t levels = 1;      // Priority levels, 0 the most urgent; the last one is batch's.
+  std::size_t max_calls = 4096;  // Calls held in all; what comes beyond is refused.
 };
 
 struct PromptPart {
@@ -114,7 +114,8 @@
   void OnProgress(Micros now, CallId call, std::uint32_t attempt, std::uint32_t tokens);
   // `again`: the call is to go on at another endpoint if it may (a cut stream that can be resumed).
   // Without it the call is over.
-  void OnOutcome(Micros now, CallId call, std::uint32_t attempt, Outcome outcome, bool again);
+  void OnOutcome(Micros now, CallId call, std::uint32_t attempt, Outcome outcome,
+                 bool may_continue);
   // The caller has left; its attempts are cancelled by whoever tells.
   void OnAbandoned(Micros now, CallId call);
   // What an endpoint told of itself (Shelflink-Server-Load): running, waiting, slots.
--- a/src/tier/policy/outcome_feedback.cpp
+++ b/src/tier/policy/outcome_feedback.cpp
@@ -8,152 +8,159 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kHasty = 1.0;            // Objectives: a time-out with less time tells nothing.
-constexpr Micros kAliveSpan = 2'000'000;  // A sign this recent shows that it is up.
-constexpr Micros kRest = 100'000;         // How long a full endpoint is passed over at first.
-constexpr double kUsualGain = 0.05;       // Weight of one call in what is usual.
+constexpr double kMinTimeoutObjectives =
+    1.0;  // Objectives: a time-out with less time tells nothing.
+constexpr Micros kRecentActivity = 2'000'000;  // A sign this recent shows that it is up.
+constexpr Micros kBackOffBase = 100'000;       // How long a full endpoint is passed over at first.
+constexpr double kMeanGain = 0.05;             // Weight of one call in what is usual.
 // Signs of overload that one call turned away counts as: with one, every eighth send would find its
 // endpoint full once the limit stands still, urgent ones among them.
-constexpr int kFullWeight = 4;
+constexpr int kRejectionWeight = 4;
 // A batch call waited for a slot where its first event came so much later than without a wait:
 // parts of the shortest objective of the live calls that would have waited too.
-constexpr double kBatchWait = 0.25;
-constexpr int kHeavy = 2;  // Failures that silence counts as: nothing else ends it so late.
+constexpr double kBatchWaitObjectives = 0.25;
+constexpr int kSilenceWeight = 2;  // Failures that silence counts as: nothing else ends it so late.
 
 }  // namespace
 
-void Learning::NoteUsual(ServiceFacts& facts, const Call& call) {
-  const double memory = static_cast<double>(call.prompt_tokens) + call.output_tokens;
-  facts.usual_prompt += kUsualGain * (call.prompt_tokens - facts.usual_prompt);
-  facts.usual_memory += kUsualGain * (memory - facts.usual_memory);
-  if (!call.batch) facts.shortest_objective = std::min(facts.shortest_objective, ObjectiveOf(call));
+void OutcomeFeedback::NoteArrival(ServiceStats& stats, const Call& call) {
+  const double kv_tokens = static_cast<double>(call.prompt_tokens) + call.output_tokens;
+  stats.mean_prompt_tokens += kMeanGain * (call.prompt_tokens - stats.mean_prompt_tokens);
+  stats.mean_kv_tokens += kMeanGain * (kv_tokens - stats.mean_kv_tokens);
+  if (!call.batch) stats.shortest_objective = std::min(stats.shortest_objective, ObjectiveOf(call));
 }
 
-void Learning::NoteBegun(Micros now, const HeldCall& held, Attempt& attempt) {
-  ServiceFacts& facts = services_.At(held.call.service).facts;
-  const Micros took = now - attempt.sent;
-  attempt.endpoint->NoteFirstEvent(now, attempt, held.call);
+void OutcomeFeedback::NoteFirstEvent(Micros now, const PendingCall& pending, Attempt& attempt) {
+  ServiceStats& stats = services_.At(pending.call.service).stats;
+  const Micros elapsed = now - attempt.sent;
+  attempt.endpoint->NoteFirstEvent(now, attempt, pending.call);
   // How long a batch call waited for more urgent ones tells nothing of the endpoint's pace.
-  if (held.call.batch) {
-    NoteBatchBegun(held, attempt, took);
+  if (pending.call.batch) {
+    NoteBatchFirstEvent(pending, attempt, elapsed);
   } else {
-    const double expected = facts.first_event.Expected(attempt.model_tokens);
-    if (facts.first_event.Known() && expected > 0) {
-      attempt.endpoint->NotePace(now, static_cast<double>(took) / expected);
+    const double expected = stats.first_event.Expected(attempt.tokens_to_first_event);
+    if (stats.first_event.HasEnoughSamples() && expected > 0) {
+      attempt.endpoint->NoteLatencyRatio(now, static_cast<double>(elapsed) / expected);
     }
-    facts.first_event.Note(attempt.model_tokens, static_cast<double>(took));
-    levels_.NoteFirstEvent(now, held.call.level, took, ObjectiveOf(held.call));
-    if (took > ObjectiveOf(held.call)) NoteLiveLate(services_.At(held.call.service));
+    stats.first_event.Note(attempt.tokens_to_first_event, static_cast<double>(elapsed));
+    levels_.NoteFirstEvent(now, pending.call.level, elapsed, ObjectiveOf(pending.call));
+    if (elapsed > ObjectiveOf(pending.call)) NoteLateLiveCall(services_.At(pending.call.service));
   }
-  NoteHealth(now, held, *attempt.endpoint, false, 1);
+  NoteHealth(now, pending, *attempt.endpoint, false, 1);
 }
 
-void Learning::NoteLiveLate(Service& service) {
-  for (Endpoint* endpoint : service.batch_endpoints) endpoint->batch_limit().NoteLiveLate();
+void OutcomeFeedback::NoteLateLiveCall(Service& service) {
+  for (Endpoint* endpoint : service.batch_endpoints) endpoint->batch_limit().NoteLateLiveCall();
 }
 
-void Learning::NoteBatchBegun(const HeldCall& held, const Attempt& attempt, Micros took) {
-  ServiceFacts& facts = services_.At(held.call.service).facts;
+void OutcomeFeedback::NoteBatchFirstEvent(const PendingCall& pending, const Attempt& attempt,
+                                          Micros elapsed) {
+  ServiceStats& stats = services_.At(pending.call.service).stats;
   Endpoint& endpoint = *attempt.endpoint;
-  const Micros objective = std::min(facts.shortest_objective, ObjectiveOf(held.call));
-  const double reading =
-      facts.first_event.Known() ? facts.first_event.PerToken() * attempt.model_tokens : 0.0;
-  const double waited = facts.batch_start.Note(static_cast<double>(took), reading);
-  if (waited > kBatchWait * static_cast<double>(objective)) {
+  const Micros objective = std::min(stats.shortest_objective, ObjectiveOf(pending.call));
+  const double prefill = stats.first_event.HasEnoughSamples()
+                             ? stats.first_event.PerToken() * attempt.tokens_to_first_event
+                             : 0.0;
+  const double waited = stats.batch_start_delay.Note(static_cast<double>(elapsed), prefill);
+  if (waited > kBatchWaitObjectives * static_cast<double>(objective)) {
     endpoint.batch_limit().NoteWait();
   } else {
-    endpoint.batch_limit().NotePrompt(endpoint.batch_calls());
+    endpoint.batch_limit().NoteImmediateStart(endpoint.batch_calls());
   }
 }
 
-void Learning::NoteOutcome(Micros now, const HeldCall& held, Attempt& attempt, Outcome outcome) {
+void OutcomeFeedback::NoteOutcome(Micros now, const PendingCall& pending, Attempt& attempt,
+                                  Outcome outcome) {
   Endpoint& endpoint = *attempt.endpoint;
   switch (outcome) {
     case Outcome::kSuccess:
-      if (!attempt.begun) NoteBegun(now, held, attempt);
-      endpoint.NoteSign(now);
-      levels_.NoteServed(now, held.call.level, now - attempt.sent);
+      if (!attempt.first_event_received) NoteFirstEvent(now, pending, attempt);
+      endpoint.NoteActivity(now);
+      levels_.NoteCompleted(now, pending.call.level, now - attempt.sent);
       retry_budget_.Earn();
       break;
     case Outcome::kNotRun:
-      endpoint.NoteSign(now);
-      endpoint.NoteFull(now, kRest);
-      if (held.call.batch) endpoint.batch_limit().NoteFull();
-      endpoint.prefixes().NoteUnread(held.call.prompt);
+      endpoint.NoteActivity(now);
+      endpoint.BackOff(now, kBackOffBase);
+      if (pending.call.batch) endpoint.batch_limit().NoteRejected();
+      endpoint.prefixes().NoteNotPrefilled(pending.call.prompt);
       endpoint.health().EndTrial();
-      for (int i = 0; i < kFullWeight; ++i) NoteOverload(held.call);
+      for (int i = 0; i < kRejectionWeight; ++i) NoteOverload(pending.call);
       break;
     case Outcome::kMisdirected:
       endpoint.NoteMisdirected(now);
-      endpoint.prefixes().NoteUnread(held.call.prompt);
+      endpoint.prefixes().NoteNotPrefilled(pending.call.prompt);
       endpoint.health().EndTrial();
-      services_.At(held.call.service).subset.Invalidate();
+      services_.At(pending.call.service).subset.Invalidate();
       break;
     case Outcome::kNeverSent:
-      endpoint.prefixes().NoteUnread(held.call.prompt);
-      NoteUnreachable(now, held, endpoint);
+      endpoint.prefixes().NoteNotPrefilled(pending.call.prompt);
+      NoteUnreachable(now, pending, endpoint);
       break;
     case Outcome::kError:
-      endpoint.NoteSign(now);
-      NoteHealth(now, held, endpoint, true, 1);
+      endpoint.NoteActivity(now);
+      NoteHealth(now, pending, endpoint, true, 1);
       break;
     case Outcome::kReset:
-      NoteHealth(now, held, endpoint, true, 1);
-      NoteOverload(held.call);
+      NoteHealth(now, pending, endpoint, true, 1);
+      NoteOverload(pending.call);
       break;
     case Outcome::kTimeout:
-      NoteTimeout(now, held, attempt);
+      NoteTimeout(now, pending, attempt);
       break;
     case Outcome::kTruncated:
-      NoteHealth(now, held, endpoint, true, 1);
+      NoteHealth(now, pending, endpoint, true, 1);
       break;
     case Outcome::kCancelled:
-      if (!attempt.begun) endpoint.prefixes().NoteUnread(held.call.prompt);
+      if (!attempt.first_event_received) endpoint.prefixes().NoteNotPrefilled(pending.call.prompt);
       endpoint.health().EndTrial();
       break;
   }
 }
 
 // One that has just shown life may be short of connections only; it is passed over for a while.
-void Learning::NoteUnreachable(Micros now, const HeldCall& held, Endpoint& endpoint) {
-  endpoint.NoteFull(now, kRest);
-  if (endpoint.health().ejected() || now - endpoint.last_sign() >= kAliveSpan) {
-    NoteHealth(now, held, endpoint, true, kHeavy);
+void OutcomeFeedback::NoteUnreachable(Micros now, const PendingCall& pending, Endpoint& endpoint) {
+  endpoint.BackOff(now, kBackOffBase);
+  if (endpoint.health().ejected() || now - endpoint.last_activity() >= kRecentActivity) {
+    NoteHealth(now, pending, endpoint, true, kSilenceWeight);
   }
 }
 
 // With less time than a fair chance takes, a call ends late at the healthiest endpoint.
-void Learning::NoteTimeout(Micros now, const HeldCall& held, Attempt& attempt) {
-  const Micros allowed = held.call.deadline == kNever ? kNever : held.call.deadline - attempt.sent;
-  const auto fair = static_cast<Micros>(kHasty * static_cast<double>(ObjectiveOf(held.call)));
-  if (allowed < fair) {
+void OutcomeFeedback::NoteTimeout(Micros now, const PendingCall& pending, Attempt& attempt) {
+  const Micros allowed =
+      pending.call.deadline == kNever ? kNever : pending.call.deadline - attempt.sent;
+  const auto min_timeout =
+      static_cast<Micros>(kMinTimeoutObjectives * static_cast<double>(ObjectiveOf(pending.call)));
+  if (allowed < min_timeout) {
     return attempt.endpoint->health().EndTrial();
   }
-  NoteHealth(now, held, *attempt.endpoint, true, attempt.begun ? 1 : kHeavy);
-  NoteOverload(held.call);
+  NoteHealth(now, pending, *attempt.endpoint, true,
+             attempt.first_event_received ? 1 : kSilenceWeight);
+  NoteOverload(pending.call);
 }
 
 // Batch calls are the first that an endpoint turns away or lets wait: live ones need not yield.
-void Learning::NoteOverload(const Call& call) {
+void OutcomeFeedback::NoteOverload(const Call& call) {
   if (!call.batch) levels_.NoteOverload(call.level);
 }
 
-void Learning::NoteHealth(Micros now, const HeldCall& held, Endpoint& endpoint, bool failed,
-                          int times) {
-  Service& service = services_.At(held.call.service);
-  const auto most_ejected = [&] { return MostEjected(now, service); };
+void OutcomeFeedback::NoteHealth(Micros now, const PendingCall& pending, Endpoint& endpoint,
+                                 bool failed, int times) {
+  Service& service = services_.At(pending.call.service);
+  const auto ejection_limit_reached = [&] { return EjectionLimitReached(now, service); };
   if (failed && Mutated(Mutant::kNeverEject)) return;
   service.usual_failure.Note(failed);
   bool changed = false;
   for (int i = 0; i < times && !changed; ++i) {
-    changed = endpoint.health().Note(failed, service.usual_failure, most_ejected,
+    changed = endpoint.health().Note(failed, service.usual_failure, ejection_limit_reached,
                                      seed_ ^ endpoint.hash(), now);
   }
   if (changed) service.subset.Invalidate();
 }
 
 // One more would be beyond the part of the subset that may be ejected at once.
-bool Learning::MostEjected(Micros now, Service& service) {
+bool OutcomeFeedback::EjectionLimitReached(Micros now, Service& service) {
   const std::vector<Endpoint*>& members = service.subset.Members(now);
   const auto ejected = std::count_if(members.begin(), members.end(),
                                      [](const Endpoint* e) { return e->health().ejected(); });
--- a/src/tier/policy/outcome_feedback.h
+++ b/src/tier/policy/outcome_feedback.h
@@ -12,30 +12,31 @@
 
 namespace shelflink::policy {
 
-class Learning {
+class OutcomeFeedback {
  public:
-  Learning(std::uint64_t seed, Services& services, Levels& levels,
-           gaugecart::RetryBudget& retry_budget)
+  OutcomeFeedback(std::uint64_t seed, Services& services, PriorityLevels& levels,
+                  gaugecart::RetryBudget& retry_budget)
       : seed_(seed), services_(services), levels_(levels), retry_budget_(retry_budget) {}
 
   // A call of the service has come.
-  static void NoteUsual(ServiceFacts& facts, const Call& call);
+  static void NoteArrival(ServiceStats& stats, const Call& call);
   // The first event of an attempt, or its answer.
-  void NoteBegun(Micros now, const HeldCall& held, Attempt& attempt);
-  void NoteOutcome(Micros now, const HeldCall& held, Attempt& attempt, Outcome outcome);
+  void NoteFirstEvent(Micros now, const PendingCall& pending, Attempt& attempt);
+  void NoteOutcome(Micros now, const PendingCall& pending, Attempt& attempt, Outcome outcome);
 
  private:
-  void NoteUnreachable(Micros now, const HeldCall& held, Endpoint& endpoint);
-  void NoteTimeout(Micros now, const HeldCall& held, Attempt& attempt);
+  void NoteUnreachable(Micros now, const PendingCall& pending, Endpoint& endpoint);
+  void NoteTimeout(Micros now, const PendingCall& pending, Attempt& attempt);
   void NoteOverload(const Call& call);
-  void NoteHealth(Micros now, const HeldCall& held, Endpoint& endpoint, bool failed, int times);
-  static void NoteLiveLate(Service& service);
-  void NoteBatchBegun(const HeldCall& held, const Attempt& attempt, Micros took);
-  static bool MostEjected(Micros now, Service& service);
+  void NoteHealth(Micros now, const PendingCall& pending, Endpoint& endpoint, bool failed,
+                  int times);
+  static void NoteLateLiveCall(Service& service);
+  void NoteBatchFirstEvent(const PendingCall& pending, const Attempt& attempt, Micros elapsed);
+  static bool EjectionLimitReached(Micros now, Service& service);
 
   std::uint64_t seed_;
   Services& services_;
-  Levels& levels_;
+  PriorityLevels& levels_;
   gaugecart::RetryBudget& retry_budget_;
 };
 
--- a/src/tier/policy/pending_call.cpp
+++ b/src/tier/policy/pending_call.cpp
@@ -7,22 +7,24 @@
 
 namespace shelflink::policy {
 
-bool HeldCall::AnyOut() const {
-  return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
+bool PendingCall::HasAttemptInFlight() const {
+  return std::any_of(attempts.begin(), attempts.end(),
+                     [](const Attempt& a) { return a.in_flight; });
 }
 
-bool HeldCall::Tried(const Endpoint& endpoint) const {
+bool PendingCall::Tried(const Endpoint& endpoint) const {
   return std::any_of(attempts.begin(), attempts.end(),
                      [&](const Attempt& a) { return a.endpoint_hash == endpoint.hash(); });
 }
 
-bool HeldCall::TurnedAwayBy(const Endpoint& endpoint) const {
+bool PendingCall::RejectedBy(const Endpoint& endpoint) const {
   return std::any_of(attempts.begin(), attempts.end(), [&](const Attempt& a) {
-    return a.turned_away && !Mutated(Mutant::kAskAgain) && a.endpoint_hash == endpoint.hash();
+    return a.rejected && !Mutated(Mutant::kRetryRejectingEndpoint) &&
+           a.endpoint_hash == endpoint.hash();
   });
 }
 
-bool ProvesUnrun(Outcome outcome) {
+bool ProvesNotRun(Outcome outcome) {
   return outcome == Outcome::kNotRun || outcome == Outcome::kMisdirected ||
          outcome == Outcome::kNeverSent;
 }
@@ -31,16 +33,17 @@
   return outcome != Outcome::kNeverSent && outcome != Outcome::kMisdirected;
 }
 
-bool HasAttemptsLeft(const HeldCall& held, Micros now) {
-  const int most = Mutated(Mutant::kManyAttempts) ? 9 : std::max(1, held.call.max_attempts);
-  return now < held.call.deadline && held.sends < most && held.attempts.size() < kMostAttempts;
+bool HasAttemptsLeft(const PendingCall& pending, Micros now) {
+  const int most = Mutated(Mutant::kExtraAttempts) ? 9 : std::max(1, pending.call.max_attempts);
+  return now < pending.call.deadline && pending.sends < most &&
+         pending.attempts.size() < kMaxAttemptsIncludingUnsent;
 }
 
-bool MaySendAgain(const HeldCall& held, Micros now) {
-  if (held.AnyOut()) return false;
-  const bool may_repeat = held.call.repeatable || Mutated(Mutant::kRepeatAnything);
-  if (held.may_have_run && !may_repeat) return false;
-  return HasAttemptsLeft(held, now);
+bool MaySendAgain(const PendingCall& pending, Micros now) {
+  if (pending.HasAttemptInFlight()) return false;
+  const bool may_repeat = pending.call.repeatable || Mutated(Mutant::kRetryNonRepeatable);
+  if (pending.may_have_run && !may_repeat) return false;
+  return HasAttemptsLeft(pending, now);
 }
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/picker.h
+++ b/src/tier/policy/picker.h
@@ -22,53 +22,54 @@
 Micros ObjectiveOf(const Call& call);
 
 // What all endpoints of a service have in common.
-struct ServiceFacts {
-  std::uint64_t kv_tokens = 0;     // Memory of each endpoint; 0: no model engine.
-  double connections_share = 0.0;  // Of each endpoint's connections for this sidecar; 0: not told.
-  double usual_prompt = 0.0;       // Tokens of a call's prompt, and of all of it.
-  double usual_memory = 0.0;
+struct ServiceStats {
+  std::uint64_t kv_tokens = 0;      // Memory of each endpoint; 0: no model engine.
+  double connection_share = 0.0;    // Of each endpoint's connections for this sidecar; 0: not told.
+  double mean_prompt_tokens = 0.0;  // Tokens of a call's prompt, and of all of it.
+  double mean_kv_tokens = 0.0;
   Micros shortest_objective = kNever;  // Of the live calls that have come.
-  BatchStart batch_start;
+  BatchStartDelay batch_start_delay;
   FirstEventModel first_event;
-  LongPrompts long_prompts;
+  LongPromptPool long_prompt_pool;
 };
 
 struct Choice {
   Endpoint* endpoint = nullptr;  // Null: none may be sent to now.
   // Only for the slots that are left to more urgent levels: it may be otherwise in a moment.
-  bool crowded = false;
+  bool only_reserved_slots = false;
 };
 
 class Picker {
  public:
   explicit Picker(std::string zone = {}) : zone_(std::move(zone)) {}
 
-  Choice Pick(Micros now, const HeldCall& held, const std::vector<Endpoint*>& members,
-              const ServiceFacts& facts);
+  Choice Pick(Micros now, const PendingCall& pending, const std::vector<Endpoint*>& members,
+              const ServiceStats& stats);
 
   // Whether another endpoint than this one would take the call now.
-  static bool HasOther(Micros now, const HeldCall& held, const std::vector<Endpoint*>& members,
-                       const Endpoint& present);
+  static bool HasAlternative(Micros now, const PendingCall& pending,
+                             const std::vector<Endpoint*>& members, const Endpoint& current);
 
   // Prompt tokens that the endpoint would have to read.
-  static std::uint64_t ReadTokens(const Call& call, const Endpoint& endpoint);
+  static std::uint64_t UncachedTokens(const Call& call, const Endpoint& endpoint);
   // Time that an endpoint takes to read what of the prompt no other call shares.
-  static double OwnReading(const Call& call, const ServiceFacts& facts);
+  static double UnsharedPrefillTime(const Call& call, const ServiceStats& stats);
 
  private:
   // The lower, the better, before any cost counts.
-  enum class Standing { kSound, kResting, kTried, kSilent, kEjected };
-  static Standing StandingOf(Micros now, const HeldCall& held, const Endpoint& endpoint);
+  enum class Availability { kHealthy, kBackingOff, kTried, kUnresponsive, kEjected };
+  static Availability AvailabilityOf(Micros now, const PendingCall& pending,
+                                     const Endpoint& endpoint);
   // Of a call's prompt, where that matters for the endpoint.
-  enum class Length { kAny, kShort, kLong };
-  static Length LengthOf(const Call& call, const ServiceFacts& facts);
-  const Endpoint* OwnerOf(Micros now, const Call& call, const std::vector<Endpoint*>& members,
-                          const ServiceFacts& facts, Length length) const;
+  enum class PromptLength { kAny, kShort, kLong };
+  static PromptLength PromptLengthOf(const Call& call, const ServiceStats& stats);
+  const Endpoint* PrefixOwner(Micros now, const Call& call, const std::vector<Endpoint*>& members,
+                              const ServiceStats& stats, PromptLength length) const;
   // Whether it is one of the endpoints that are for long prompts where the call's is short, or the
   // other way round.
-  static bool IsMixed(Length length, const Endpoint& endpoint, const ServiceFacts& facts);
+  static bool IsMismatch(PromptLength length, const Endpoint& endpoint, const ServiceStats& stats);
   double Cost(Micros now, const Call& call, const Endpoint& endpoint, bool owner,
-              const ServiceFacts& facts, Length length) const;
+              const ServiceStats& stats, PromptLength length) const;
 
   std::string zone_;
   std::size_t cursor_ = 0;
--- a/src/tier/policy/prefix_cache.cpp
+++ b/src/tier/policy/prefix_cache.cpp
@@ -7,13 +7,13 @@
   Shrink();
 }
 
-std::uint64_t PrefixCache::Kept(const std::vector<PromptPart>& prompt) const {
-  std::uint64_t kept = 0;
+std::uint64_t PrefixCache::CachedTokens(const std::vector<PromptPart>& prompt) const {
+  std::uint64_t cached = 0;
   for (const PromptPart& part : prompt) {
     if (!index_.contains(part.id)) break;
-    kept += part.tokens;
+    cached += part.tokens;
   }
-  return kept;
+  return cached;
 }
 
 void PrefixCache::NoteSent(const std::vector<PromptPart>& prompt) {
@@ -32,17 +32,17 @@
   Shrink();
 }
 
-void PrefixCache::NoteRead(const std::vector<PromptPart>& prompt) {
+void PrefixCache::NotePrefilled(const std::vector<PromptPart>& prompt) {
   for (const PromptPart& part : prompt) {
     const auto known = index_.find(part.id);
-    if (known != index_.end()) known->second->read = true;
+    if (known != index_.end()) known->second->prefilled = true;
   }
 }
 
-void PrefixCache::NoteUnread(const std::vector<PromptPart>& prompt) {
+void PrefixCache::NoteNotPrefilled(const std::vector<PromptPart>& prompt) {
   for (const PromptPart& part : prompt) {
     const auto known = index_.find(part.id);
-    if (known != index_.end() && !known->second->read) Erase(known->second);
+    if (known != index_.end() && !known->second->prefilled) Erase(known->second);
   }
 }
 
@@ -53,7 +53,7 @@
 }
 
 void PrefixCache::Shrink() {
-  while (!recency_.empty() && (tokens_ > capacity_ || index_.size() > kMostParts)) {
+  while (!recency_.empty() && (tokens_ > capacity_ || index_.size() > kMaxParts)) {
     Erase(std::prev(recency_.end()));
   }
 }
--- a/src/tier/policy/prefix_cache.h
+++ b/src/tier/policy/prefix_cache.h
@@ -15,24 +15,24 @@
 
 class PrefixCache {
  public:
-  static constexpr std::size_t kMostParts = 4096;  // Beyond, the part unused longest is dropped.
+  static constexpr std::size_t kMaxParts = 4096;  // Beyond, the part unused longest is dropped.
 
   // 0: nothing is kept.
   void SetCapacity(std::uint64_t tokens);
   // Tokens kept of the prompt from its start: a part counts only if all before it are kept too.
-  std::uint64_t Kept(const std::vector<PromptPart>& prompt) const;
+  std::uint64_t CachedTokens(const std::vector<PromptPart>& prompt) const;
   // The prompt is on its way to the endpoint.
   void NoteSent(const std::vector<PromptPart>& prompt);
   // The endpoint has read it.
-  void NoteRead(const std::vector<PromptPart>& prompt);
+  void NotePrefilled(const std::vector<PromptPart>& prompt);
   // The endpoint never read it: parts that no other prompt is known to have brought are dropped.
-  void NoteUnread(const std::vector<PromptPart>& prompt);
+  void NoteNotPrefilled(const std::vector<PromptPart>& prompt);
   std::size_t size() const { return index_.size(); }
 
  private:
   struct Entry {
     PromptPart part;
-    bool read = false;
+    bool prefilled = false;
   };
   using Recency = std::list<Entry>;  // Used latest first.
 
--- a/src/tier/policy/priority_levels.h
+++ b/src/tier/policy/priority_levels.h
@@ -17,26 +17,26 @@
 
 namespace shelflink::policy {
 
-class Levels {
+class PriorityLevels {
  public:
-  Levels();
+  PriorityLevels();
 
   // The last level is batch's where there are two or more. A level that is no more is kept while
   // the module lives: calls may still be in it.
   void SetCount(std::size_t count);
   std::size_t count() const { return count_; }
-  std::size_t kept() const { return levels_.size(); }
+  std::size_t allocated_count() const { return levels_.size(); }
   // A limit at which nothing is held. It is taken while nothing has told what is too much, and
   // where the present limit is far above it: what one sidecar of few may start with is too much for
   // many.
-  void StartFrom(double limit);
+  void SetInitialLimit(double limit);
 
   // Seats that the limit never falls below: so many the endpoints surely have for this sidecar.
-  void SetFloor(double seats) { floor_ = seats; }
+  void SetMinLimit(double limit) { min_limit_ = limit; }
 
   // Seats of the batch level's pool: the slots of the endpoints that this sidecar runs batch calls
   // at. The limit that live calls share does not bind it, each endpoint's batch limit does.
-  void SetBatchSeats(double seats) { batch_seats_ = seats; }
+  void SetBatchLimit(double limit) { batch_limit_ = limit; }
 
   // A call has come, which will take about as long as calls of its level do.
   void NoteArrival(Micros now, std::uint32_t level);
@@ -56,38 +56,39 @@
   bool AnyWaiting() const;
 
   // A first event came in time or late.
-  void NoteFirstEvent(Micros now, std::uint32_t level, Micros took, Micros objective);
+  void NoteFirstEvent(Micros now, std::uint32_t level, Micros elapsed, Micros objective);
   // A call has been served whole, `held` after it was sent.
-  void NoteServed(Micros now, std::uint32_t level, Micros held);
+  void NoteCompleted(Micros now, std::uint32_t level, Micros seat_time);
   // A time-out, a reset, a stream that did not start in time, an endpoint that turned it away.
   void NoteOverload(std::uint32_t level);
 
   bool IsBatch(std::uint32_t level) const;
   // How long a call of the level usually holds its seat; 0: not known.
-  Micros UsualSpan(std::uint32_t level) const;
+  Micros TypicalSeatTime(std::uint32_t level) const;
   double LimitOf(Micros now, std::uint32_t level) const;
-  double limit() const { return std::max(floor_, limiter_->limit()); }
+  double limit() const { return std::max(min_limit_, limiter_->limit()); }
 
  private:
   struct Entry {
     explicit Entry(std::uint32_t index);
-    gaugecart::Level pool;        // Its answer times are first events, as parts of the objective.
-    gaugecart::AnswerTimes held;  // How long a call holds its seat.
-    std::unordered_map<std::uint64_t, std::uint32_t> waiting;  // Calls of each flow, where any.
+    gaugecart::Level pool;  // Its answer times are first events, as parts of the objective.
+    gaugecart::AnswerTimes seat_times;  // How long a call holds its seat.
+    std::unordered_map<std::uint64_t, std::uint32_t>
+        waiting_by_flow;  // Calls of each flow, where any.
   };
 
   void RemoveWaiting(Entry& entry, std::uint64_t flow);
   double InFlight() const;
   void Overload(bool slow, bool late);
-  void BeginAt(double limit);
-  double LeastStart() const;
+  void Reset(double limit);
+  double MinStart() const;
 
   std::vector<Entry> levels_;
   std::optional<gaugecart::Limiter> limiter_;
   std::size_t count_ = 0;
-  double floor_ = 0.0;
-  double batch_seats_ = 0.0;
-  bool told_ = false;  // Of overload.
+  double min_limit_ = 0.0;
+  double batch_limit_ = 0.0;
+  bool overload_seen_ = false;  // Of overload.
 };
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/services.cpp
+++ b/src/tier/policy/services.cpp
@@ -6,19 +6,20 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kConnectionFactor = 2.0;  // Connections before one counts as too many, of a share.
+constexpr double kConnectionShareFactor =
+    2.0;  // Connections before one counts as too many, of a share.
 
 }  // namespace
 
 void Services::SetConfig(const ModuleConfig& config) {
   config_ = config;
-  for (auto& [name, service] : services_) Place(*service);
+  for (auto& [name, service] : services_) ApplyLocation(*service);
 }
 
 void Services::Set(const ServiceInfo& info) {
-  Service& service = Named(info.name);
-  service.gone = false;
-  service.facts.kv_tokens = info.kv_tokens;
+  Service& service = FindOrAdd(info.name);
+  service.removed = false;
+  service.stats.kv_tokens = info.kv_tokens;
   service.max_connections = info.max_conns;
   service.slots = 0.0;
   for (const EndpointInfo& endpoint : info.endpoints) service.slots += endpoint.slots;
@@ -27,27 +28,27 @@
   for (std::size_t i = 0; i < info.endpoints.size(); ++i) {
     if (!info.endpoints[i].draining) serving.push_back(service.subset.hashes()[i]);
   }
-  service.facts.long_prompts.SetEndpoints(std::move(serving));
-  UpdateTouched(service, info.endpoints);
-  TouchBatchEndpoints(service);
+  service.stats.long_prompt_pool.SetEndpoints(std::move(serving));
+  UpdateKnownEndpoints(service, info.endpoints);
+  UpdateBatchEndpoints(service);
 }
 
 bool Services::Remove(const std::string& name) {
   const auto it = services_.find(name);
   if (it == services_.end()) return false;
-  it->second->gone = true;
+  it->second->removed = true;
   it->second->slots = 0.0;
   it->second->subset.SetEndpoints({});
-  UpdateTouched(*it->second, {});
+  UpdateKnownEndpoints(*it->second, {});
   it->second->batch_endpoints.clear();
-  it->second->batch_members.clear();
+  it->second->batch_candidates.clear();
   if (it->second->in_flight == 0) services_.erase(it);
   return true;
 }
 
 void Services::ShareConnections() {
   for (auto& [name, service] : services_) {
-    service->facts.connections_share = kConnectionFactor * EvenShare(service->max_connections);
+    service->stats.connection_share = kConnectionShareFactor * EvenShare(service->max_connections);
   }
 }
 
@@ -58,20 +59,20 @@
 
 void Services::NoteFinished(const std::string& name) {
   const auto it = services_.find(name);
-  if (--it->second->in_flight == 0 && it->second->gone) services_.erase(it);
+  if (--it->second->in_flight == 0 && it->second->removed) services_.erase(it);
 }
 
 void Services::NoteLoad(const std::string& endpoint, std::uint32_t running, std::uint32_t waiting,
                         std::uint32_t slots) {
   for (auto& [name, service] : services_) {
-    const auto it = service->touched.find(endpoint);
-    if (it != service->touched.end()) it->second.NoteLoad(now_, running, waiting, slots);
+    const auto it = service->known_endpoints.find(endpoint);
+    if (it != service->known_endpoints.end()) it->second.NoteLoad(now_, running, waiting, slots);
   }
 }
 
-double Services::EvenShare(double of_all) const { return of_all / std::max(1U, config_.sidecars); }
+double Services::EvenShare(double total) const { return total / std::max(1U, config_.sidecars); }
 
-double Services::AllSlots() const {
+double Services::TotalSlots() const {
   double slots = 0.0;
   for (const auto& [name, service] : services_) slots += service->slots;
   return slots;
@@ -79,7 +80,7 @@
 
 bool Services::CanServe(const std::string& name) {
   Service* service = Find(name);
-  return service != nullptr && !service->gone && !service->subset.Members(now_).empty();
+  return service != nullptr && !service->removed && !service->subset.Members(now_).empty();
 }
 
 std::uint32_t Services::BatchRoom(Micros now) const {
@@ -97,7 +98,7 @@
   for (const auto& [name, service] : services_) {
     for (const Endpoint* endpoint : service->batch_endpoints) {
       ++state.endpoints;
-      state.limit += endpoint->batch_limit().seats();
+      state.limit += endpoint->batch_limit().value();
       state.calls += static_cast<std::uint32_t>(endpoint->batch_calls());
     }
   }
@@ -112,11 +113,12 @@
   return slots;
 }
 
-const std::vector<Endpoint*>& Services::BatchMembers(Micros now, Service& service, bool any) const {
-  std::vector<Endpoint*>& members = service.batch_members;
+const std::vector<Endpoint*>& Services::BatchCandidates(Micros now, Service& service,
+                                                        bool ignore_room) const {
+  std::vector<Endpoint*>& members = service.batch_candidates;
   members.clear();
-  for (Endpoint* endpoint : service.batch_endpoints) {
-    if (any ? endpoint->Usable(now) : endpoint->BatchRoom(now) >= 1.0) members.push_back(endpoint);
+  for (Endpoint* owned : service.batch_endpoints) {
+    if (ignore_room ? owned->Usable(now) : owned->BatchRoom(now) >= 1.0) members.push_back(owned);
   }
   return members;
 }
@@ -129,45 +131,48 @@
   });
 }
 
-Service& Services::Named(const std::string& name) {
+Service& Services::FindOrAdd(const std::string& name) {
   if (Service* known = Find(name)) return *known;
   auto service = std::make_unique<Service>(
       [this, name](const EndpointInfo& info, std::uint64_t hash) -> Endpoint& {
-        return Touch(At(name), info, hash);
+        return FindOrAddEndpoint(At(name), info, hash);
       });
-  Service& made = *services_.emplace(name, std::move(service)).first->second;
-  Place(made);
-  return made;
+  Service& added = *services_.emplace(name, std::move(service)).first->second;
+  ApplyLocation(added);
+  return added;
 }
 
-Endpoint& Services::Touch(Service& service, const EndpointInfo& info, std::uint64_t hash) {
-  const auto [it, fresh] = service.touched.try_emplace(info.id, hash);
-  if (fresh) it->second.Update(now_, info, service.facts.kv_tokens);
+Endpoint& Services::FindOrAddEndpoint(Service& service, const EndpointInfo& info,
+                                      std::uint64_t hash) {
+  const auto [it, inserted] = service.known_endpoints.try_emplace(info.id, hash);
+  if (inserted) it->second.Update(now_, info, service.stats.kv_tokens);
   return it->second;
 }
 
-void Services::TouchBatchEndpoints(Service& service) {
+void Services::UpdateBatchEndpoints(Service& service) {
   service.batch_endpoints.clear();
   const std::vector<EndpointInfo>& listed = service.subset.endpoints();
   for (std::size_t i = 0; i < listed.size(); ++i) {
     if (!listed[i].owned_for_batch) continue;
-    service.batch_endpoints.push_back(&Touch(service, listed[i], service.subset.hashes()[i]));
+    service.batch_endpoints.push_back(
+        &FindOrAddEndpoint(service, listed[i], service.subset.hashes()[i]));
   }
 }
 
-void Services::Place(Service& service) const {
+void Services::ApplyLocation(Service& service) const {
   service.subset.SetNode(config_.node, config_.zone);
   service.picker = Picker(config_.zone);
 }
 
 // Of an endpoint that is gone nothing is kept once nothing is out to it.
-void Services::UpdateTouched(Service& service, const std::vector<EndpointInfo>& listed) const {
-  for (auto& [id, endpoint] : service.touched) endpoint.SetListed(false);
+void Services::UpdateKnownEndpoints(Service& service,
+                                    const std::vector<EndpointInfo>& listed) const {
+  for (auto& [id, endpoint] : service.known_endpoints) endpoint.SetListed(false);
   for (const EndpointInfo& info : listed) {
-    const auto it = service.touched.find(info.id);
-    if (it != service.touched.end()) it->second.Update(now_, info, service.facts.kv_tokens);
+    const auto it = service.known_endpoints.find(info.id);
+    if (it != service.known_endpoints.end()) it->second.Update(now_, info, service.stats.kv_tokens);
   }
-  std::erase_if(service.touched, [](const auto& entry) {
+  std::erase_if(service.known_endpoints, [](const auto& entry) {
     return !entry.second.listed() && entry.second.calls() == 0;
   });
 }
--- a/src/tier/policy/services.h
+++ b/src/tier/policy/services.h
@@ -20,19 +20,20 @@
 namespace shelflink::policy {
 
 struct Service {
-  explicit Service(Subset::Finder find) : subset(std::move(find)) {}
+  explicit Service(Subset::EndpointLookup lookup) : subset(std::move(lookup)) {}
 
-  std::unordered_map<std::string, Endpoint> touched;  // By id; only those that were ever members.
+  std::unordered_map<std::string, Endpoint>
+      known_endpoints;  // By id; only those that were ever members.
   Subset subset;
-  std::vector<Endpoint*> batch_endpoints;  // Those that this sidecar sends batch calls to...
-  std::vector<Endpoint*> batch_members;    // ...and which of them a call may go to now.
+  std::vector<Endpoint*> batch_endpoints;   // Those that this sidecar sends batch calls to...
+  std::vector<Endpoint*> batch_candidates;  // ...and which of them a call may go to now.
   Picker picker;
-  ServiceFacts facts;
+  ServiceStats stats;
   gaugecart::UsualFailure usual_failure;
   int max_connections = 0;
   double slots = 0.0;  // Of all endpoints.
   std::size_t in_flight = 0;
-  bool gone = false;
+  bool removed = false;
 };
 
 class Services {
@@ -56,8 +57,8 @@
                 std::uint32_t slots);
 
   // This sidecar's even share of what belongs to all.
-  double EvenShare(double of_all) const;
-  double AllSlots() const;
+  double EvenShare(double total) const;
+  double TotalSlots() const;
   // Whether any endpoint of the service is in use.
   bool CanServe(const std::string& name);
   // More batch calls that may be sent now, over all endpoints that this sidecar owns for batch.
@@ -66,16 +67,17 @@
   // Slots of these endpoints.
   double BatchSlots() const;
   // Endpoints that a batch call may go to now; `any`: also those without room.
-  const std::vector<Endpoint*>& BatchMembers(Micros now, Service& service, bool any) const;
+  const std::vector<Endpoint*>& BatchCandidates(Micros now, Service& service,
+                                                bool ignore_room) const;
   // Whether any endpoint that this sidecar owns for batch takes calls at all.
   bool CanRunBatch(Micros now) const;
 
  private:
-  Service& Named(const std::string& name);
-  Endpoint& Touch(Service& service, const EndpointInfo& info, std::uint64_t hash);
-  void Place(Service& service) const;
-  void TouchBatchEndpoints(Service& service);
-  void UpdateTouched(Service& service, const std::vector<EndpointInfo>& listed) const;
+  Service& FindOrAdd(const std::string& name);
+  Endpoint& FindOrAddEndpoint(Service& service, const EndpointInfo& info, std::uint64_t hash);
+  void ApplyLocation(Service& service) const;
+  void UpdateBatchEndpoints(Service& service);
+  void UpdateKnownEndpoints(Service& service, const std::vector<EndpointInfo>& listed) const;
 
   ModuleConfig config_;
   Micros now_ = 0;
--- a/src/tier/policy/subset.cpp
+++ b/src/tier/policy/subset.cpp
@@ -9,10 +9,11 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr Micros kRebuildSpan = 500'000;    // Pauses of ejected endpoints end without an event.
-constexpr Micros kShrinkSpan = 60'000'000;  // So long quiet, and one leaves.
-constexpr std::size_t kFirstSorted = 32;
-constexpr std::uint64_t kFarKey = std::uint64_t{1} << 63;  // Keys of other zones lie above it.
+constexpr Micros kRebuildInterval = 500'000;    // Pauses of ejected endpoints end without an event.
+constexpr Micros kShrinkInterval = 60'000'000;  // So long quiet, and one leaves.
+constexpr std::size_t kInitialSortedRanks = 32;
+constexpr std::uint64_t kOtherZoneBit = std::uint64_t{1}
+                                        << 63;  // Keys of other zones lie above it.
 
 }  // namespace
 
@@ -35,7 +36,7 @@
   hashes_.clear();
   hashes_.reserve(endpoints_.size());
   for (const EndpointInfo& info : endpoints_) hashes_.push_back(HashOf(info.id));
-  std::erase_if(adopted_, [&](std::uint64_t hash) {
+  std::erase_if(prefix_owners_, [&](std::uint64_t hash) {
     return std::find(hashes_.begin(), hashes_.end(), hash) == hashes_.end();
   });
   members_.clear();  // What they point at may be gone.
@@ -46,8 +47,8 @@
   ranks_.clear();
   ranks_.reserve(endpoints_.size());
   for (std::uint32_t i = 0; i < endpoints_.size(); ++i) {
-    const std::uint64_t near_key = gaugecart::Mix(node_hash_ ^ hashes_[i]) >> 1;
-    ranks_.push_back({endpoints_[i].zone == zone_ ? near_key : near_key | kFarKey, i});
+    const std::uint64_t key = gaugecart::Mix(node_hash_ ^ hashes_[i]) >> 1;
+    ranks_.push_back({endpoints_[i].zone == zone_ ? key : key | kOtherZoneBit, i});
   }
   sorted_ = 0;
   stale_ = true;
@@ -57,7 +58,8 @@
   if (rank >= ranks_.size()) return std::nullopt;
   if (rank >= sorted_) {
     // Each time twice as far: a small subset of a long list is never worth sorting all of it.
-    const std::size_t target = std::min(ranks_.size(), std::max(kFirstSorted, 2 * (rank + 1)));
+    const std::size_t target =
+        std::min(ranks_.size(), std::max(kInitialSortedRanks, 2 * (rank + 1)));
     const auto at = [&](std::size_t i) { return ranks_.begin() + static_cast<std::ptrdiff_t>(i); };
     std::partial_sort(at(sorted_), at(target), ranks_.end());
     sorted_ = target;
@@ -68,28 +70,29 @@
 const std::vector<Endpoint*>& Subset::Members(Micros now) {
   if (!stale_ && now < rebuild_at_) return members_;
   stale_ = false;
-  rebuild_at_ = now + kRebuildSpan;
+  rebuild_at_ = now + kRebuildInterval;
   members_.clear();
-  sound_ = 0;
-  for (const std::uint64_t hash : adopted_) {
+  healthy_count_ = 0;
+  for (const std::uint64_t hash : prefix_owners_) {
     const auto it = std::find(hashes_.begin(), hashes_.end(), hash);
-    Join(static_cast<std::uint32_t>(it - hashes_.begin()), now);
+    AddMember(static_cast<std::uint32_t>(it - hashes_.begin()), now);
   }
-  for (std::size_t rank = 0; sound_ < size_.size(); ++rank) {
+  for (std::size_t rank = 0; healthy_count_ < size_.size(); ++rank) {
     const std::optional<std::uint32_t> index = AtRank(rank);
     if (!index) break;
-    if (std::find(adopted_.begin(), adopted_.end(), hashes_[*index]) == adopted_.end()) {
-      Join(*index, now);
+    if (std::find(prefix_owners_.begin(), prefix_owners_.end(), hashes_[*index]) ==
+        prefix_owners_.end()) {
+      AddMember(*index, now);
     }
   }
   return members_;
 }
 
-void Subset::Join(std::uint32_t index, Micros now) {
-  Endpoint& endpoint = find_(endpoints_[index], hashes_[index]);
+void Subset::AddMember(std::uint32_t index, Micros now) {
+  Endpoint& endpoint = lookup_(endpoints_[index], hashes_[index]);
   if (!endpoint.Usable(now)) return;
   members_.push_back(&endpoint);
-  if (!endpoint.health().ejected()) ++sound_;
+  if (!endpoint.health().ejected()) ++healthy_count_;
 }
 
 void Subset::NoteInFlight(Micros now, std::size_t in_flight, std::optional<std::uint64_t> prefix) {
@@ -97,18 +100,19 @@
   if (now >= window_end_) {
     if (window_end_ > 0 && window_peak_ < size_.size()) {
       size_.Shrink();
-      adopted_.resize(std::min(adopted_.size(), size_.size() - gaugecart::kFirstSubset));
+      prefix_owners_.resize(
+          std::min(prefix_owners_.size(), size_.size() - gaugecart::kFirstSubset));
       stale_ = true;
     }
-    window_end_ = now + kShrinkSpan;
+    window_end_ = now + kShrinkInterval;
     window_peak_ = in_flight;
   }
-  if (Mutated(Mutant::kSubsetStays) || !size_.Grow(in_flight, endpoints_.size())) return;
+  if (Mutated(Mutant::kFixedSubset) || !size_.Grow(in_flight, endpoints_.size())) return;
   stale_ = true;
-  if (prefix) Adopt(*prefix, now);
+  if (prefix) AddPrefixOwner(*prefix, now);
 }
 
-void Subset::Adopt(std::uint64_t prefix, Micros now) {
+void Subset::AddPrefixOwner(std::uint64_t prefix, Micros now) {
   std::size_t owner = endpoints_.size();
   std::uint64_t best = 0;
   for (std::size_t i = 0; i < endpoints_.size(); ++i) {
@@ -118,9 +122,9 @@
     owner = i;
   }
   if (owner == endpoints_.size()) return;
-  const Endpoint& endpoint = find_(endpoints_[owner], hashes_[owner]);
+  const Endpoint& endpoint = lookup_(endpoints_[owner], hashes_[owner]);
   if (Contains(endpoint) || !endpoint.Usable(now) || endpoint.health().ejected()) return;
-  adopted_.push_back(hashes_[owner]);
+  prefix_owners_.push_back(hashes_[owner]);
 }
 
 bool Subset::Contains(const Endpoint& endpoint) const {
--- a/src/tier/policy/subset.h
+++ b/src/tier/policy/subset.h
@@ -25,9 +25,9 @@
 class Subset {
  public:
   // Makes or finds what is known of an endpoint of that id and hash.
-  using Finder = std::function<Endpoint&(const EndpointInfo& info, std::uint64_t hash)>;
+  using EndpointLookup = std::function<Endpoint&(const EndpointInfo& info, std::uint64_t hash)>;
 
-  explicit Subset(Finder find) : find_(std::move(find)) {}
+  explicit Subset(EndpointLookup lookup) : lookup_(std::move(lookup)) {}
 
   void SetNode(const std::string& node, const std::string& zone);
   void SetEndpoints(const std::vector<EndpointInfo>& endpoints);
@@ -55,21 +55,21 @@
   };
 
   void Rank();
-  void Adopt(std::uint64_t prefix, Micros now);
-  void Join(std::uint32_t index, Micros now);
+  void AddPrefixOwner(std::uint64_t prefix, Micros now);
+  void AddMember(std::uint32_t index, Micros now);
   // The endpoint at this place of the node's order; none beyond the last.
   std::optional<std::uint32_t> AtRank(std::size_t rank);
 
-  Finder find_;
+  EndpointLookup lookup_;
   std::uint64_t node_hash_ = 0;
   std::string zone_;
   std::vector<EndpointInfo> endpoints_;
   std::vector<std::uint64_t> hashes_;
   std::vector<Ranked> ranks_;  // Sorted up to sorted_.
   std::size_t sorted_ = 0;
-  std::vector<std::uint64_t> adopted_;  // Hashes of owners that joined out of their order.
+  std::vector<std::uint64_t> prefix_owners_;  // Hashes of owners that joined out of their order.
   std::vector<Endpoint*> members_;
-  std::size_t sound_ = 0;  // Members that are not ejected.
+  std::size_t healthy_count_ = 0;  // Members that are not ejected.
   gaugecart::SubsetSize size_;
   bool stale_ = true;
   Micros rebuild_at_ = 0;
--- a/src/tier/proxy/endpoint_calls.h
+++ b/src/tier/proxy/endpoint_calls.h
@@ -2,8 +2,8 @@
 //
 // The module says where each attempt goes; this carries it out, tells it what came of it, and joins
 // the attempts of one call into one answer. It holds one attempt of a call at a time. What bounds
-// it: ModuleConfig::max_pending_calls calls (the module refuses more), LiveCall::kMostSends sends a
-// call, kHeldAnswer bytes of an answer that is held whole, EventStream::kLongestEvent of one event.
+// it: ModuleConfig::max_calls calls (the module refuses more), LiveCall::kMostSends sends a call,
+// kHeldAnswer bytes of an answer that is held whole, EventStream::kLongestEvent of one event.
 #ifndef SHELFLINK_TIER_PROXY_ENDPOINT_CALLS_H_
 #define SHELFLINK_TIER_PROXY_ENDPOINT_CALLS_H_
 
--- a/src/tier/proxy/module_feed.cpp
+++ b/src/tier/proxy/module_feed.cpp
@@ -36,7 +36,7 @@
   shape.node = options_.node;
   shape.zone = options_.zone;
   shape.levels = levels_.count();
-  shape.max_pending_calls = options_.most_held;
+  shape.max_calls = options_.most_held;
   std::vector<policy::BatchOwners::Sidecar> ready;
   if (view.members) ready = ReadyProxies(*view.members);
   shape.sidecars = static_cast<std::uint32_t>(std::max<std::size_t>(1, ready.size()));
--- a/tests/tier/policy/batch_share_test.cpp
+++ b/tests/tier/policy/batch_share_test.cpp
@@ -97,26 +97,26 @@
 BOOST_AUTO_TEST_CASE(starts_at_half_of_the_slots_and_never_falls_below_one) {
   BatchLimit limit;
   limit.SetSlots(8);
-  BOOST_TEST(limit.seats() == 4.0);
+  BOOST_TEST(limit.value() == 4.0);
   for (int i = 0; i < 100; ++i) limit.NoteWait();
-  BOOST_TEST(limit.seats() == 1.0);
-  limit.NoteFull();
-  limit.NoteLiveLate();
-  BOOST_TEST(limit.seats() == 1.0);
+  BOOST_TEST(limit.value() == 1.0);
+  limit.NoteRejected();
+  limit.NoteLateLiveCall();
+  BOOST_TEST(limit.value() == 1.0);
   limit.SetSlots(8);  // The same list again.
-  BOOST_TEST(limit.seats() == 1.0);
+  BOOST_TEST(limit.value() == 1.0);
   limit.SetSlots(1);
-  BOOST_TEST(limit.seats() == 1.0);
+  BOOST_TEST(limit.value() == 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(rises_only_where_it_binds) {
   BatchLimit limit;
   limit.SetSlots(8);
-  for (int i = 0; i < 100; ++i) limit.NotePrompt(1);
-  BOOST_TEST(limit.seats() == 4.0);
-  for (int i = 0; i < 100; ++i) limit.NotePrompt(8);
-  BOOST_TEST(limit.seats() > 7.0);
-  BOOST_TEST(limit.seats() < 8.0);  // A part is always left for live calls.
+  for (int i = 0; i < 100; ++i) limit.NoteImmediateStart(1);
+  BOOST_TEST(limit.value() == 4.0);
+  for (int i = 0; i < 100; ++i) limit.NoteImmediateStart(8);
+  BOOST_TEST(limit.value() > 7.0);
+  BOOST_TEST(limit.value() < 8.0);  // A part is always left for live calls.
 }
 
 BOOST_AUTO_TEST_CASE(settles_where_one_call_in_six_waits) {
@@ -126,14 +126,14 @@
   double owed = 0.0;
   double sum = 0.0;
   for (int i = 0; i < 4000; ++i) {
-    owed += std::max(0.0, limit.seats() / 24.0);
+    owed += std::max(0.0, limit.value() / 24.0);
     if (owed >= 1.0) {
       limit.NoteWait();
       owed -= 1.0;
     } else {
-      limit.NotePrompt(16);
+      limit.NoteImmediateStart(16);
     }
-    if (i >= 2000) sum += limit.seats();
+    if (i >= 2000) sum += limit.value();
   }
   BOOST_TEST(sum / 2000 > 3.5);
   BOOST_TEST(sum / 2000 < 4.5);
@@ -142,11 +142,11 @@
 BOOST_AUTO_TEST_CASE(late_live_calls_and_refusals_lower_it) {
   BatchLimit limit;
   limit.SetSlots(16);
-  limit.NoteLiveLate();
-  BOOST_TEST(limit.seats() < 8.0);
-  const double before = limit.seats();
-  limit.NoteFull();
-  BOOST_TEST(limit.seats() < 0.8 * before);
+  limit.NoteLateLiveCall();
+  BOOST_TEST(limit.value() < 8.0);
+  const double before = limit.value();
+  limit.NoteRejected();
+  BOOST_TEST(limit.value() < 0.8 * before);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -154,14 +154,14 @@
 BOOST_AUTO_TEST_SUITE(start)
 
 BOOST_AUTO_TEST_CASE(a_wait_is_told_against_the_least_start) {
-  BatchStart start;
+  BatchStartDelay start;
   BOOST_TEST(start.Note(40e3, 10e3) == 0.0);
   BOOST_TEST(start.Note(140e3, 10e3) > 95e3);
   BOOST_TEST(start.Note(40e3, 60e3) == 0.0);  // It was read faster than was thought.
 }
 
 BOOST_AUTO_TEST_CASE(waits_stay_waits_while_all_wait) {
-  BatchStart start;
+  BatchStartDelay start;
   start.Note(30e3, 0.0);
   double waited = 0.0;
   for (int i = 0; i < 60; ++i) waited = start.Note(200e3, 0.0);
@@ -169,7 +169,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_lasts_is_taken_for_usual_in_the_end) {
-  BatchStart start;
+  BatchStartDelay start;
   start.Note(30e3, 0.0);
   double waited = 0.0;
   for (int i = 0; i < 400; ++i) waited = start.Note(200e3, 0.0);
--- a/tests/tier/policy/long_prompts_test.cpp
+++ b/tests/tier/policy/long_prompts_test.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-using shelflink::policy::LongPrompts;
+using shelflink::policy::LongPromptPool;
 
 constexpr double kObjective = 300'000;  // Microseconds.
-constexpr double kLong = 90'000;
-constexpr double kShort = 3'000;
+constexpr double kLongPrefill = 90'000;
+constexpr double kShortPrefill = 3'000;
 
 std::vector<std::uint64_t> Endpoints(std::size_t count) {
   std::vector<std::uint64_t> hashes;
@@ -22,88 +22,88 @@
 }
 
 // Calls of which one in `each` has a long prompt.
-void NoteCalls(LongPrompts& prompts, int calls, int each) {
+void NoteCalls(LongPromptPool& pool, int calls, int interval) {
   for (int i = 0; i < calls; ++i) {
-    prompts.Note(each > 0 && i % each == 0 ? kLong : kShort, kObjective);
+    pool.Note(interval > 0 && i % interval == 0 ? kLongPrefill : kShortPrefill, kObjective);
   }
 }
 
-std::vector<std::uint64_t> HeldBy(const LongPrompts& prompts,
-                                  const std::vector<std::uint64_t>& all) {
-  std::vector<std::uint64_t> held;
-  std::copy_if(all.begin(), all.end(), std::back_inserter(held),
-               [&](std::uint64_t hash) { return prompts.Holds(hash); });
-  return held;
+std::vector<std::uint64_t> PoolMembers(const LongPromptPool& pool,
+                                       const std::vector<std::uint64_t>& all) {
+  std::vector<std::uint64_t> members;
+  std::copy_if(all.begin(), all.end(), std::back_inserter(members),
+               [&](std::uint64_t hash) { return pool.Contains(hash); });
+  return members;
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(TellsLongPromptsByTheirReading) {
-  BOOST_TEST(LongPrompts::IsLong(kLong, kObjective));
-  BOOST_TEST(!LongPrompts::IsLong(kShort, kObjective));
+  BOOST_TEST(LongPromptPool::IsLong(kLongPrefill, kObjective));
+  BOOST_TEST(!LongPromptPool::IsLong(kShortPrefill, kObjective));
 }
 
 BOOST_AUTO_TEST_CASE(KeepsNothingApartBeforeItHasSeenEnough) {
-  LongPrompts prompts;
-  prompts.SetEndpoints(Endpoints(9));
-  NoteCalls(prompts, 50, 2);
-  BOOST_TEST(!prompts.separates());
-  BOOST_TEST(HeldBy(prompts, Endpoints(9)).empty());
+  LongPromptPool pool;
+  pool.SetEndpoints(Endpoints(9));
+  NoteCalls(pool, 50, 2);
+  BOOST_TEST(!pool.active());
+  BOOST_TEST(PoolMembers(pool, Endpoints(9)).empty());
 }
 
 BOOST_AUTO_TEST_CASE(KeepsNothingApartWhereAllPromptsAreShort) {
-  LongPrompts prompts;
-  prompts.SetEndpoints(Endpoints(9));
-  NoteCalls(prompts, 5000, 0);
-  BOOST_TEST(!prompts.separates());
+  LongPromptPool pool;
+  pool.SetEndpoints(Endpoints(9));
+  NoteCalls(pool, 5000, 0);
+  BOOST_TEST(!pool.active());
 }
 
 BOOST_AUTO_TEST_CASE(KeepsNothingApartOnFewEndpoints) {
-  LongPrompts prompts;
-  prompts.SetEndpoints(Endpoints(3));
-  NoteCalls(prompts, 5000, 5);
-  BOOST_TEST(!prompts.separates());
+  LongPromptPool pool;
+  pool.SetEndpoints(Endpoints(3));
+  NoteCalls(pool, 5000, 5);
+  BOOST_TEST(!pool.active());
 }
 
 BOOST_AUTO_TEST_CASE(HoldsAsManyEndpointsAsItsCountAndAtMostHalf) {
   for (std::size_t endpoints = 4; endpoints <= 72; ++endpoints) {
-    LongPrompts prompts;
-    prompts.SetEndpoints(Endpoints(endpoints));
-    NoteCalls(prompts, 5000, 4);
-    BOOST_TEST(prompts.separates());
-    BOOST_TEST(HeldBy(prompts, Endpoints(endpoints)).size() == prompts.count());
-    BOOST_TEST(2 * prompts.count() <= endpoints + 1);
+    LongPromptPool pool;
+    pool.SetEndpoints(Endpoints(endpoints));
+    NoteCalls(pool, 5000, 4);
+    BOOST_TEST(pool.active());
+    BOOST_TEST(PoolMembers(pool, Endpoints(endpoints)).size() == pool.size());
+    BOOST_TEST(2 * pool.size() <= endpoints + 1);
   }
 }
 
 BOOST_AUTO_TEST_CASE(AgreesWithOthersThatHaveSeenOtherCallsOfTheSameKind) {
-  LongPrompts here;
-  LongPrompts there;
+  LongPromptPool here;
+  LongPromptPool there;
   std::vector<std::uint64_t> reversed = Endpoints(9);
   std::reverse(reversed.begin(), reversed.end());
   here.SetEndpoints(Endpoints(9));
   there.SetEndpoints(reversed);
   NoteCalls(here, 4000, 5);
   NoteCalls(there, 9001, 5);
-  BOOST_TEST(HeldBy(here, Endpoints(9)) == HeldBy(there, Endpoints(9)),
+  BOOST_TEST(PoolMembers(here, Endpoints(9)) == PoolMembers(there, Endpoints(9)),
              boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(FollowsAChangeOfWhatIsRead) {
-  LongPrompts prompts;
-  prompts.SetEndpoints(Endpoints(9));
-  NoteCalls(prompts, 5000, 3);
-  BOOST_TEST(prompts.separates());
-  NoteCalls(prompts, 20'000, 0);
-  BOOST_TEST(!prompts.separates());
+  LongPromptPool pool;
+  pool.SetEndpoints(Endpoints(9));
+  NoteCalls(pool, 5000, 3);
+  BOOST_TEST(pool.active());
+  NoteCalls(pool, 20'000, 0);
+  BOOST_TEST(!pool.active());
 }
 
 BOOST_AUTO_TEST_CASE(LosesNoPlaceWhenEndpointsLeave) {
-  LongPrompts prompts;
-  prompts.SetEndpoints(Endpoints(9));
-  NoteCalls(prompts, 5000, 3);
-  for (std::size_t left = 9; left-- > 0;) {
-    prompts.SetEndpoints(Endpoints(left));
-    BOOST_TEST(HeldBy(prompts, Endpoints(left)).size() == prompts.count());
+  LongPromptPool pool;
+  pool.SetEndpoints(Endpoints(9));
+  NoteCalls(pool, 5000, 3);
+  for (std::size_t remaining = 9; remaining-- > 0;) {
+    pool.SetEndpoints(Endpoints(remaining));
+    BOOST_TEST(PoolMembers(pool, Endpoints(remaining)).size() == pool.size());
   }
 }
--- a/tests/tier/policy/policy_module_test.cpp
+++ b/tests/tier/policy/policy_module_test.cpp
@@ -156,7 +156,7 @@
   ModuleConfig config;
   config.node = "edge-1";
   config.levels = 2;
-  config.max_pending_calls = 5;
+  config.max_calls = 5;
   module.OnConfig(0, config);
   for (CallId id = 1; id <= 8; ++id) module.OnCall(1, NewCall(id));
   BOOST_TEST(actions.sent.size() == 5U);
--- a/tests/tier/policy/policy_parts_test.cpp
+++ b/tests/tier/policy/policy_parts_test.cpp
@@ -42,9 +42,9 @@
   PrefixCache cache;
   cache.SetCapacity(1000);
   cache.NoteSent(Prompt({1, 2, 3}));
-  BOOST_TEST(cache.Kept(Prompt({1, 2, 3})) == 300U);
-  BOOST_TEST(cache.Kept(Prompt({1, 2, 9})) == 200U);
-  BOOST_TEST(cache.Kept(Prompt({9, 2, 3})) == 0U);
+  BOOST_TEST(cache.CachedTokens(Prompt({1, 2, 3})) == 300U);
+  BOOST_TEST(cache.CachedTokens(Prompt({1, 2, 9})) == 200U);
+  BOOST_TEST(cache.CachedTokens(Prompt({9, 2, 3})) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(the_part_unused_longest_gives_way_and_the_end_of_a_prompt_first) {
@@ -54,30 +54,30 @@
   cache.NoteSent(Prompt({5, 6}));
   cache.NoteSent(Prompt({1}));
   cache.NoteSent(Prompt({7}));
-  BOOST_TEST(cache.Kept(Prompt({1})) == 100U);
-  BOOST_TEST(cache.Kept(Prompt({1, 2})) == 100U);
-  BOOST_TEST(cache.Kept(Prompt({5, 6})) == 200U);
+  BOOST_TEST(cache.CachedTokens(Prompt({1})) == 100U);
+  BOOST_TEST(cache.CachedTokens(Prompt({1, 2})) == 100U);
+  BOOST_TEST(cache.CachedTokens(Prompt({5, 6})) == 200U);
 }
 
 BOOST_AUTO_TEST_CASE(what_was_never_read_is_dropped_unless_another_prompt_brought_it) {
   PrefixCache cache;
   cache.SetCapacity(1000);
   cache.NoteSent(Prompt({1, 2}));
-  cache.NoteRead(Prompt({1, 2}));
+  cache.NotePrefilled(Prompt({1, 2}));
   cache.NoteSent(Prompt({1, 3}));
-  cache.NoteUnread(Prompt({1, 3}));
-  BOOST_TEST(cache.Kept(Prompt({1, 2})) == 200U);
-  BOOST_TEST(cache.Kept(Prompt({1, 3})) == 100U);
+  cache.NoteNotPrefilled(Prompt({1, 3}));
+  BOOST_TEST(cache.CachedTokens(Prompt({1, 2})) == 200U);
+  BOOST_TEST(cache.CachedTokens(Prompt({1, 3})) == 100U);
 }
 
 BOOST_AUTO_TEST_CASE(keeps_nothing_without_memory_and_bounds_its_entries) {
   PrefixCache none;
   none.NoteSent(Prompt({1}));
-  BOOST_TEST(none.Kept(Prompt({1})) == 0U);
+  BOOST_TEST(none.CachedTokens(Prompt({1})) == 0U);
   PrefixCache cache;
   cache.SetCapacity(1'000'000);
   for (std::uint64_t id = 0; id < 10'000; ++id) cache.NoteSent({{id, 0}});
-  BOOST_TEST(cache.size() == PrefixCache::kMostParts);
+  BOOST_TEST(cache.size() == PrefixCache::kMaxParts);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -122,8 +122,8 @@
     attempt.endpoint = &known;
     attempt.sent = now;
     attempt.first_event_timeout = 100 * kMs;
-    attempt.output_tokens = 20;
-    attempt.read_tokens = 50;
+    attempt.remaining_output_tokens = 20;
+    attempt.uncached_tokens = 50;
     known.AddAttempt(attempt, call);
     return attempt;
   }
@@ -134,47 +134,47 @@
 BOOST_FIXTURE_TEST_CASE(is_silent_once_a_first_event_is_overdue_and_nothing_else_came,
                         OneEndpoint) {
   Attempt first = Sent(0);
-  BOOST_TEST(!known.Silent(99 * kMs));
-  BOOST_TEST(known.Silent(100 * kMs));
-  known.NoteSign(110 * kMs);  // Another call's event.
-  BOOST_TEST(!known.Silent(150 * kMs));
-  BOOST_TEST(known.Silent(210 * kMs));
+  BOOST_TEST(!known.Unresponsive(99 * kMs));
+  BOOST_TEST(known.Unresponsive(100 * kMs));
+  known.NoteActivity(110 * kMs);  // Another call's event.
+  BOOST_TEST(!known.Unresponsive(150 * kMs));
+  BOOST_TEST(known.Unresponsive(210 * kMs));
   known.NoteFirstEvent(220 * kMs, first, call);
-  BOOST_TEST(!known.Silent(kSecond));
+  BOOST_TEST(!known.Unresponsive(kSecond));
   known.RemoveAttempt(first, call);
   BOOST_TEST(known.calls() == 0U);
-  BOOST_TEST(known.unread_tokens() == 0U);
+  BOOST_TEST(known.queued_prefill_tokens() == 0U);
 }
 
 BOOST_FIXTURE_TEST_CASE(what_it_tells_of_others_fades, OneEndpoint) {
   Sent(0);
   known.NoteLoad(0, 8, 2, 16);
   BOOST_TEST(known.slots() == 16);
-  BOOST_TEST(known.Others(0) == 9.0);
-  BOOST_TEST(known.OthersWaiting(0) == 2.0);
-  BOOST_TEST(known.Others(10 * kSecond) < 0.1);
+  BOOST_TEST(known.OtherCalls(0) == 9.0);
+  BOOST_TEST(known.OtherCallsWaiting(0) == 2.0);
+  BOOST_TEST(known.OtherCalls(10 * kSecond) < 0.1);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_stream_near_its_end_weighs_less, OneEndpoint) {
   call.output_tokens = 20;
   Attempt attempt = Sent(0);
-  BOOST_TEST(known.Running(0) == 1.0);
+  BOOST_TEST(known.WeightedCalls(0) == 1.0);
   known.NoteFirstEvent(0, attempt, call);
   known.NoteProgress(0, attempt, 20);
-  BOOST_TEST(known.Running(0) == 0.5);
+  BOOST_TEST(known.WeightedCalls(0) == 0.5);
   known.NoteProgress(0, attempt, 20);  // More than was announced.
   known.RemoveAttempt(attempt, call);
-  BOOST_TEST(known.Running(0) == 0.0);
+  BOOST_TEST(known.WeightedCalls(0) == 0.0);
 }
 
 BOOST_FIXTURE_TEST_CASE(rests_longer_each_time_it_turns_a_call_away, OneEndpoint) {
-  known.NoteFull(0, 100 * kMs);
-  BOOST_TEST(known.Resting(99 * kMs));
-  BOOST_TEST(!known.Resting(100 * kMs));
-  known.NoteFull(kSecond, 100 * kMs);
-  BOOST_TEST(known.Resting(kSecond + 199 * kMs));
-  for (int i = 0; i < 20; ++i) known.NoteFull(2 * kSecond, 100 * kMs);
-  BOOST_TEST(!known.Resting(2 * kSecond + 800 * kMs));
+  known.BackOff(0, 100 * kMs);
+  BOOST_TEST(known.BackingOff(99 * kMs));
+  BOOST_TEST(!known.BackingOff(100 * kMs));
+  known.BackOff(kSecond, 100 * kMs);
+  BOOST_TEST(known.BackingOff(kSecond + 199 * kMs));
+  for (int i = 0; i < 20; ++i) known.BackOff(2 * kSecond, 100 * kMs);
+  BOOST_TEST(!known.BackingOff(2 * kSecond + 800 * kMs));
 }
 
 BOOST_FIXTURE_TEST_CASE(is_not_usable_while_draining_misdirected_or_gone, OneEndpoint) {
@@ -366,7 +366,7 @@
   const std::set<std::string> before = Ids(0);
   BOOST_TEST(before.size() == 100U);
   List(299, 0);
-  std::size_t kept = 0;
+  std::size_t cached = 0;
   for (const std::string& id : Ids(0)) kept += before.contains(id) ? 1 : 0;
   BOOST_TEST(kept >= 99U);
 }
@@ -376,16 +376,16 @@
 BOOST_AUTO_TEST_SUITE(levels)
 
 BOOST_AUTO_TEST_CASE(batch_has_a_pool_of_its_own_and_pools_add_up) {
-  Levels levels;
+  PriorityLevels levels;
   levels.SetCount(3);
-  levels.StartFrom(100.0);
-  levels.SetBatchSeats(25.0);
+  levels.SetInitialLimit(100.0);
+  levels.SetBatchLimit(25.0);
   levels.NoteArrival(0, 0);
   const double all = levels.LimitOf(0, 0) + levels.LimitOf(0, 1) + levels.LimitOf(0, 2);
   BOOST_TEST(levels.LimitOf(0, 2) == 25.0);
   BOOST_TEST(all <= 100.0 + 2.0);
   const double live = levels.LimitOf(0, 0);
-  levels.SetBatchSeats(60.0);  // More slots for batch take nothing from live levels.
+  levels.SetBatchLimit(60.0);  // More slots for batch take nothing from live levels.
   BOOST_TEST(levels.LimitOf(0, 2) == 60.0);
   BOOST_TEST(levels.LimitOf(0, 0) == live);
   BOOST_TEST(levels.LimitOf(0, 0) > levels.LimitOf(0, 1));
@@ -393,7 +393,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(releases_one_call_of_each_flow_in_turn_while_there_is_room) {
-  Levels levels;
+  PriorityLevels levels;
   levels.SetCount(1);
   for (CallId id = 1; id <= 10; ++id) BOOST_TEST(!levels.Enqueue(0, {id, 5, 0}));
   BOOST_TEST(!levels.Enqueue(0, {100, 6, 0}));
@@ -409,7 +409,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(holds_when_the_pool_is_taken_and_sheds_the_flow_that_waits_most) {
-  Levels levels;
+  PriorityLevels levels;
   levels.SetCount(1);
   std::size_t started = 0;
   while (static_cast<double>(started) + 1.0 <= levels.LimitOf(0, 0)) {
@@ -430,9 +430,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_limit_falls_on_late_first_events_and_turned_away_calls_and_rises_again) {
-  Levels levels;
+  PriorityLevels levels;
   levels.SetCount(1);
-  levels.StartFrom(50.0);
+  levels.SetInitialLimit(50.0);
   for (int i = 0; i < 40; ++i) levels.Start(0);
   for (int i = 0; i < 100; ++i) levels.NoteFirstEvent(i * kMs, 0, 30 * kMs, 300 * kMs);
   const double before = levels.limit();
@@ -447,10 +447,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_last_level_is_batchs_also_when_levels_become_fewer) {
-  Levels levels;
+  PriorityLevels levels;
   levels.SetCount(4);
-  levels.StartFrom(100.0);
-  levels.SetBatchSeats(25.0);
+  levels.SetInitialLimit(100.0);
+  levels.SetBatchLimit(25.0);
   levels.Enqueue(3, {1, 5, 0});
   levels.SetCount(2);
   BOOST_TEST(levels.IsBatch(1));
@@ -460,24 +460,24 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_first_limit_follows_what_is_told_of_the_fleet) {
-  Levels levels;
+  PriorityLevels levels;
   levels.SetCount(2);
-  levels.StartFrom(1000.0);
-  levels.StartFrom(100.0);  // There are ten times as many sidecars now.
+  levels.SetInitialLimit(1000.0);
+  levels.SetInitialLimit(100.0);  // There are ten times as many sidecars now.
   BOOST_TEST(levels.limit() == 100.0);
   levels.NoteOverload(0);
   const double learned = levels.limit();
-  levels.StartFrom(90.0);
+  levels.SetInitialLimit(90.0);
   BOOST_TEST(levels.limit() == learned);
-  levels.StartFrom(40.0);
+  levels.SetInitialLimit(40.0);
   BOOST_TEST(levels.limit() == 40.0);
 }
 
 BOOST_AUTO_TEST_CASE(the_limit_never_falls_below_what_the_endpoints_surely_have) {
-  Levels levels;
+  PriorityLevels levels;
   levels.SetCount(2);
-  levels.SetFloor(30.0);
-  levels.StartFrom(60.0);
+  levels.SetMinLimit(30.0);
+  levels.SetInitialLimit(60.0);
   for (int i = 0; i < 500; ++i) levels.NoteOverload(0);
   BOOST_TEST(levels.limit() == 30.0);
 }
@@ -493,15 +493,15 @@
       known[i]->Update(0, Info("e" + std::to_string(i)), 100'000);
       members.push_back(known[i].get());
     }
-    facts.kv_tokens = 100'000;
-    for (int i = 0; i < 50; ++i) facts.first_event.Note(100.0 * (i % 20), 5e3 + 400.0 * (i % 20));
-    held.last_slots = true;
-    held.call.objective = 300 * kMs;
-    held.call.prompt = Prompt({1, 2, 3});
-    held.call.prompt_tokens = 300;
-    held.call.output_tokens = 10;
+    stats.kv_tokens = 100'000;
+    for (int i = 0; i < 50; ++i) stats.first_event.Note(100.0 * (i % 20), 5e3 + 400.0 * (i % 20));
+    pending.may_use_reserved_slots = true;
+    pending.call.objective = 300 * kMs;
+    pending.call.prompt = Prompt({1, 2, 3});
+    pending.call.prompt_tokens = 300;
+    pending.call.output_tokens = 10;
   }
-  Endpoint* Pick(Micros now = 0) { return picker.Pick(now, held, members, facts).endpoint; }
+  Endpoint* Pick(Micros now = 0) { return picker.Pick(now, pending, members, stats).endpoint; }
   // So many calls, sent at the time.
   void Load(std::size_t index, int calls, Micros now = 0) {
     for (int i = 0; i < calls; ++i) {
@@ -513,22 +513,22 @@
   }
   std::vector<std::unique_ptr<Endpoint>> known;
   std::vector<Endpoint*> members;
-  ServiceFacts facts;
-  HeldCall held;
+  ServiceStats stats;
+  PendingCall pending;
   Call other;
   Picker picker{"here"};
 };
 
 BOOST_FIXTURE_TEST_CASE(without_prompts_it_rotates, Members) {
-  held.call.prompt.clear();
+  pending.call.prompt.clear();
   std::set<Endpoint*> picked;
   for (int i = 0; i < 4; ++i) picked.insert(Pick());
   BOOST_TEST(picked.size() == 4U);
 }
 
 BOOST_FIXTURE_TEST_CASE(prefers_where_the_shared_parts_are_kept_until_load_outweighs_it, Members) {
-  held.call.prompt = {{1, 20'000}, {2, 100}};
-  held.call.prompt_tokens = 20'100;
+  pending.call.prompt = {{1, 20'000}, {2, 100}};
+  pending.call.prompt_tokens = 20'100;
   known[2]->prefixes().NoteSent({{1, 20'000}});
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick() == members[2]);
   Load(2, 12);  // More than its slots.
@@ -539,9 +539,9 @@
   Members elsewhere;
   std::set<Endpoint*> owners;
   for (std::uint64_t prefix = 0; prefix < 60; ++prefix) {
-    held.call.prompt = {{prefix, 3000}, {9999, 100}};
-    held.call.prompt_tokens = 3100;
-    elsewhere.held = held;
+    pending.call.prompt = {{prefix, 3000}, {9999, 100}};
+    pending.call.prompt_tokens = 3100;
+    elsewhere.pending = pending;
     for (std::uint64_t i = 0; i < prefix % 4; ++i)
       elsewhere.Pick();  // Its rotation stands elsewhere.
     const Endpoint* here = Pick();
@@ -562,13 +562,13 @@
 BOOST_FIXTURE_TEST_CASE(passes_over_silent_ejected_resting_and_tried_endpoints, Members) {
   Load(0, 1);
   const Micros late = 2 * kSecond;
-  BOOST_TEST(known[0]->Silent(late));
-  known[1]->NoteFull(late, kSecond);
-  held.attempts.push_back({});
-  held.attempts.back().out = false;
-  held.attempts.back().endpoint_hash = known[2]->hash();
+  BOOST_TEST(known[0]->Unresponsive(late));
+  known[1]->BackOff(late, kSecond);
+  pending.attempts.push_back({});
+  pending.attempts.back().in_flight = false;
+  pending.attempts.back().endpoint_hash = known[2]->hash();
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick(late) == members[3]);
-  held.attempts.back().endpoint_hash = known[3]->hash();
+  pending.attempts.back().endpoint_hash = known[3]->hash();
   members.pop_back();
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick(late) == members[2]);
   members.pop_back();
@@ -578,16 +578,16 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(keeps_from_memory_that_runs_out, Members) {
-  held.call.prompt.clear();
-  held.call.prompt_tokens = 20'000;
+  pending.call.prompt.clear();
+  pending.call.prompt_tokens = 20'000;
   other.prompt_tokens = 90'000;
   for (std::size_t i = 0; i < 3; ++i) Load(i, 1);
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick() == members[3]);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_slow_or_cold_or_far_endpoint_costs_more, Members) {
-  held.call.prompt.clear();
-  for (int i = 0; i < 20; ++i) known[0]->NotePace(0, 5.0);
+  pending.call.prompt.clear();
+  for (int i = 0; i < 20; ++i) known[0]->NoteLatencyRatio(0, 5.0);
   EndpointInfo cold = Info("e1");
   cold.cold_until = 10 * kSecond;
   known[1]->SetListed(false);
@@ -598,22 +598,22 @@
 
 BOOST_FIXTURE_TEST_CASE(lower_levels_and_batch_leave_the_last_slots, Members) {
   for (std::size_t i = 0; i < 4; ++i) Load(i, 9);
-  held.last_slots = false;
-  BOOST_TEST(picker.Pick(0, held, members, facts).crowded);
-  held.last_slots = true;
+  pending.may_use_reserved_slots = false;
+  BOOST_TEST(picker.Pick(0, pending, members, stats).only_reserved_slots);
+  pending.may_use_reserved_slots = true;
   BOOST_TEST(Pick() != nullptr);
   Members half;
   for (std::size_t i = 0; i < 4; ++i) half.Load(i, 8);
-  half.held.last_slots = false;
+  half.pending.may_use_reserved_slots = false;
   BOOST_TEST(half.Pick() != nullptr);
-  half.held.call.batch = true;
+  half.pending.call.batch = true;
   BOOST_TEST(half.Pick() == nullptr);
 }
 
 BOOST_FIXTURE_TEST_CASE(an_endpoint_short_of_connections_for_us_is_a_last_resort, Members) {
-  facts.connections_share = 2.0;
-  held.call.prompt = {{1, 5'000}, {2, 10}};
-  held.call.prompt_tokens = 5'010;
+  stats.connection_share = 2.0;
+  pending.call.prompt = {{1, 5'000}, {2, 10}};
+  pending.call.prompt_tokens = 5'010;
   known[0]->prefixes().NoteSent({{1, 5'000}});
   BOOST_TEST(Pick() == members[0]);
   Load(0, 2);
@@ -622,7 +622,7 @@
 
 BOOST_AUTO_TEST_CASE(a_large_subset_is_looked_at_in_part_and_none_is_left_out) {
   Members many(100);
-  many.held.call.prompt.clear();
+  many.pending.call.prompt.clear();
   std::set<Endpoint*> picked;
   for (int i = 0; i < 100; ++i) {
     Endpoint* endpoint = many.Pick();
--- a/tests/tier/policy/scenario_tools.h
+++ b/tests/tier/policy/scenario_tools.h
@@ -18,28 +18,30 @@
 using MakeCall = std::function<Call()>;
 
 // Calls that come at random, so many a second.
-inline void Pour(World& world, std::size_t sidecar, Micros from, Micros until, double per_second,
-                 const MakeCall& make) {
-  const double gap = -std::log(1.0 - world.draws.Unit()) / per_second * 1e6;
+inline void GenerateCalls(Simulation& simulation, std::size_t sidecar, Micros from, Micros until,
+                          double per_second, const MakeCall& make) {
+  const double gap = -std::log(1.0 - simulation.draws.Unit()) / per_second * 1e6;
   const Micros at = from + static_cast<Micros>(gap);
   if (at >= until) return;
-  world.At(at, [&world, sidecar, at, until, per_second, make] {
-    world.Ask(sidecar, make());
-    Pour(world, sidecar, at, until, per_second, make);
+  simulation.Schedule(at, [&simulation, sidecar, at, until, per_second, make] {
+    simulation.SubmitCall(sidecar, make());
+    GenerateCalls(simulation, sidecar, at, until, per_second, make);
   });
 }
 
-inline void PourAll(World& world, Micros until, double per_second, const MakeCall& make) {
-  for (std::size_t i = 0; i < world.sidecars(); ++i) Pour(world, i, 0, until, per_second, make);
+inline void GenerateFleetCalls(Simulation& simulation, Micros until, double per_second,
+                               const MakeCall& make) {
+  for (std::size_t i = 0; i < simulation.sidecars(); ++i)
+    GenerateCalls(simulation, i, 0, until, per_second, make);
 }
 
 // Of the calls that came within the span.
 struct Tally {
-  double all = 0;
+  double total = 0;
   double served = 0;
   double refused = 0;
   double lost = 0;          // Neither served nor refused.
-  double held = 0;          // Sent later than they came.
+  double delayed = 0;       // Sent later than they came.
   Micros longest_wait = 0;  // Until they were sent or refused.
   std::vector<Micros> first_events;
 
@@ -52,20 +54,23 @@
   }
 };
 
-using Filter = std::function<bool(const Record&)>;
+using Filter = std::function<bool(const CallRecord&)>;
 
-inline Tally Count(const World& world, Micros from, Micros until, const Filter& filter = {}) {
+inline Tally Count(const Simulation& simulation, Micros from, Micros until,
+                   const Filter& filter = {}) {
   Tally tally;
-  for (const auto& [id, record] : world.records()) {
-    if (record.came < from || record.came >= until || (filter && !filter(record))) continue;
-    ++tally.all;
+  for (const auto& [id, record] : simulation.records()) {
+    if (record.arrived_at < from || record.arrived_at >= until || (filter && !filter(record)))
+      continue;
+    ++tally.total;
     if (record.served) ++tally.served;
     if (record.refused) ++tally.refused;
     if (!record.served && !record.refused) ++tally.lost;
-    if (record.sent > record.came) ++tally.held;
-    const Micros decided = record.sent >= 0 ? record.sent : record.ended;
-    tally.longest_wait = std::max(tally.longest_wait, decided - record.came);
-    if (record.first_event >= 0) tally.first_events.push_back(record.first_event - record.came);
+    if (record.first_sent_at > record.arrived_at) ++tally.delayed;
+    const Micros waited_until = record.first_sent_at >= 0 ? record.first_sent_at : record.ended_at;
+    tally.longest_wait = std::max(tally.longest_wait, waited_until - record.arrived_at);
+    if (record.first_event_at >= 0)
+      tally.first_events.push_back(record.first_event_at - record.arrived_at);
   }
   return tally;
 }
--- a/tests/tier/policy/scenarios.h
+++ b/tests/tier/policy/scenarios.h
@@ -18,49 +18,49 @@
 };
 
 // Nothing is held or refused, and prompts are answered promptly.
-Findings Quiet(std::uint64_t seed);
+Findings LightLoad(std::uint64_t seed);
 // A flood of one level takes nothing from another.
-Findings Isolation(std::uint64_t seed);
+Findings LevelIsolation(std::uint64_t seed);
 // All levels together keep to the limit, each to its own pool.
-Findings PoolsKeepApart(std::uint64_t seed);
+Findings PoolLimits(std::uint64_t seed);
 // Where seats are stuck what comes is told soon that it can neither run nor wait.
-Findings StuckSeats(std::uint64_t seed);
+Findings HungCallsFillPool(std::uint64_t seed);
 // A tenant that floods its level doesn't starve the others, and nobody waits beyond the cap.
-Findings FairTenants(std::uint64_t seed);
+Findings TenantFairness(std::uint64_t seed);
 // Sidecars that know the same don't all go to one endpoint.
-Findings NoHerd(std::uint64_t seed);
+Findings NoHerding(std::uint64_t seed);
 // One endpoint that goes dark, fails, or turns slow costs little.
-Findings OneDark(std::uint64_t seed);
+Findings OneUnresponsive(std::uint64_t seed);
 // The endpoint that keeps what most calls share goes dark.
-Findings DarkOwner(std::uint64_t seed);
+Findings UnresponsivePrefixOwner(std::uint64_t seed);
 Findings OneFailing(std::uint64_t seed);
 Findings OneUnreachable(std::uint64_t seed);
 Findings OneSlow(std::uint64_t seed);
 // Endpoints are replaced one after the other: drained, new ones cold.
-Findings Release(std::uint64_t seed);
+Findings RollingReplacement(std::uint64_t seed);
 // All endpoints go silent: calls go on being tried, and are served again soon after.
-Findings AllDark(std::uint64_t seed);
+Findings AllUnresponsive(std::uint64_t seed);
 // All endpoints turn everything away: few sends, and every call is told soon.
-Findings AllFull(std::uint64_t seed);
+Findings AllRejecting(std::uint64_t seed);
 // Batch items taken up by the room that is told don't slow live calls, and get on.
-Findings BatchYields(std::uint64_t seed);
+Findings BatchBesideLive(std::uint64_t seed);
 // Batch jobs that the fleet's endpoints have room for are done when due, whoever holds them, and
 // live calls get their first events as without them: 70 and 255 sidecars that are not told of any
 // load.
 Findings FleetFinishesBatch(std::uint64_t seed);
 Findings LargeFleetFinishesBatch(std::uint64_t seed);
 // Calls with shared prompt parts meet where the parts are kept.
-Findings Stickiness(std::uint64_t seed);
+Findings PrefixAffinity(std::uint64_t seed);
 // Many calls of one prefix spread once their endpoint is loaded.
 Findings HotPrefix(std::uint64_t seed);
 // Where the first level alone would take every slot, the others get something.
-Findings NobodyStarves(std::uint64_t seed);
+Findings NoStarvation(std::uint64_t seed);
 // Long answers that cost no reading spread over the slots all the same.
 Findings LongAnswers(std::uint64_t seed);
 // One sidecar alone brings as many endpoints into use as its load takes.
-Findings SubsetGrows(std::uint64_t seed);
+Findings SubsetGrowth(std::uint64_t seed);
 // Whatever the events are: rules on repeats, attempts, drains and final answers.
-Findings Lawful(std::uint64_t seed);
+Findings RandomEvents(std::uint64_t seed);
 
 const std::vector<Scenario>& AllScenarios();
 
--- a/tests/tier/policy/simulation.h
+++ b/tests/tier/policy/simulation.h
@@ -29,25 +29,25 @@
   int slots = 16;
   double micros_per_prompt_token = 4.0;
   double micros_per_output_token = 1000.0;
-  std::size_t most_waiting = 6;
+  std::size_t max_waiting = 6;
   std::uint64_t kv_tokens = 200'000;
-  bool tells_load = true;  // With the first event of each call.
+  bool reports_load = true;  // With the first event of each call.
 };
 
-enum class Trouble {
+enum class Fault {
   kNone,
-  kDark,     // Takes what comes and says nothing.
-  kRefused,  // Connections fail.
-  kErrors,   // Every answer is a failure, at once.
-  kFull,     // Turns everything away.
+  kUnresponsive,  // Takes what comes and says nothing.
+  kUnreachable,   // Connections fail.
+  kFailing,       // Every answer is a failure, at once.
+  kRejecting,     // Turns everything away.
 };
 
 // What became of one call of a client.
-struct Record {
-  Micros came = 0;
-  Micros sent = -1;  // First.
-  Micros first_event = -1;
-  Micros ended = -1;
+struct CallRecord {
+  Micros arrived_at = 0;
+  Micros first_sent_at = -1;  // First.
+  Micros first_event_at = -1;
+  Micros ended_at = -1;
   std::uint32_t level = 0;
   std::uint64_t flow = 0;
   int sends = 0;
@@ -57,12 +57,12 @@
   bool abandoned = false;
 };
 
-class World;
+class Simulation;
 
 class Engine {
  public:
-  Engine(World& world, std::string id, const EngineOptions& options)
-      : world_(world), id_(std::move(id)), options_(options) {}
+  Engine(Simulation& simulation, std::string id, const EngineOptions& options)
+      : simulation_(simulation), id_(std::move(id)), options_(options) {}
 
   struct Work {
     std::size_t sidecar;
@@ -72,47 +72,47 @@
   };
 
   void Arrive(const Work& work);
-  void Leave(std::size_t sidecar, CallId call);
+  void Cancel(std::size_t sidecar, CallId call);
 
   const std::string& id() const { return id_; }
   std::size_t running() const { return running_.size(); }
   std::size_t waiting() const { return waiting_.size(); }
   const EngineOptions& options() const { return options_; }
 
-  Trouble trouble = Trouble::kNone;
+  Fault fault = Fault::kNone;
   double slowness = 1.0;
   bool draining = false;
   bool listed = true;
   Micros cold_until = 0;
-  std::uint64_t prompt_tokens_read = 0;
+  std::uint64_t prompt_tokens_prefilled = 0;
   std::uint64_t arrived = 0;
-  std::size_t most_running = 0;
-  std::uint64_t shared_parts_read = 0;
+  std::size_t max_running = 0;
+  std::uint64_t shared_parts_prefilled = 0;
 
  private:
   using Key = std::pair<std::size_t, CallId>;
 
-  void Admit(const Work& work);
-  void Step(const Work& work, std::uint32_t done);
-  void End(const Work& work, Outcome outcome);
-  std::uint64_t Read(const Call& call);
+  void StartCall(const Work& work);
+  void EmitEvent(const Work& work, std::uint32_t done);
+  void Finish(const Work& work, Outcome outcome);
+  std::uint64_t Prefill(const Call& call);
 
-  World& world_;
+  Simulation& simulation_;
   std::string id_;
   EngineOptions options_;
   std::map<Key, Work> running_;
   std::deque<Work> waiting_;
-  Micros reader_free_ = 0;
-  std::map<std::uint64_t, std::uint64_t> kept_;  // Part to the count of its last use.
-  std::map<std::uint64_t, std::uint32_t> kept_tokens_;
-  std::uint64_t kept_sum_ = 0;
-  std::uint64_t uses_ = 0;
+  Micros prefill_free_at_ = 0;
+  std::map<std::uint64_t, std::uint64_t> cached_;  // Part to the count of its last use.
+  std::map<std::uint64_t, std::uint32_t> cached_part_tokens_;
+  std::uint64_t cached_tokens_ = 0;
+  std::uint64_t use_count_ = 0;
 };
 
-class World {
+class Simulation {
  public:
-  World(std::uint64_t seed, std::size_t sidecars, std::size_t engines,
-        const EngineOptions& options = {}, std::uint32_t levels = 3)
+  Simulation(std::uint64_t seed, std::size_t sidecars, std::size_t engines,
+             const EngineOptions& options = {}, std::uint32_t levels = 3)
       : draws(gaugecart::Mix(seed)), seed_(seed) {
     for (std::size_t i = 0; i < engines; ++i) {
       engines_.push_back(std::make_unique<Engine>(*this, "endpoint-" + std::to_string(i), options));
@@ -129,11 +129,11 @@
       members.push_back({config.node, config.zone});
     }
     batch_owners_.SetSidecars(members);
-    List();
+    PublishEndpoints();
   }
 
   // Tells all sidecars of the endpoints as they are.
-  void List() {
+  void PublishEndpoints() {
     ServiceInfo service;
     service.name = "model";
     service.kv_tokens = engines_.front()->options().kv_tokens;
@@ -163,7 +163,7 @@
   }
 
   // A client's call; it leaves if nothing has come for two seconds.
-  CallId Ask(std::size_t sidecar, Call call) {
+  CallId SubmitCall(std::size_t sidecar, Call call) {
     call.id = ++last_call_;
     call.service = "model";
     if (!call.batch) {
@@ -171,27 +171,27 @@
       if (call.objective == 0) call.objective = 300 * kMillisecond;
       if (call.deadline == kNever) call.deadline = now_ + 5 * kSecond;
     }
-    Record& record = records_[call.id];
-    record.came = now_;
+    CallRecord& record = records_[call.id];
+    record.arrived_at = now_;
     record.level = call.level;
     record.flow = call.flow;
     nodes_[sidecar]->module.OnCall(now_, call);
     if (!call.batch) {
-      At(now_ + 2 * kSecond, [this, sidecar, id = call.id] {
-        const Record& known = records_[id];
-        if (known.ended >= 0 || known.first_event >= 0) return;
-        for (auto& engine : engines_) engine->Leave(sidecar, id);
+      Schedule(now_ + 2 * kSecond, [this, sidecar, id = call.id] {
+        const CallRecord& known = records_[id];
+        if (known.ended_at >= 0 || known.first_event_at >= 0) return;
+        for (auto& engine : engines_) engine->Cancel(sidecar, id);
         records_[id].abandoned = true;
-        records_[id].ended = now_;
+        records_[id].ended_at = now_;
         nodes_[sidecar]->calls.erase(id);
         nodes_[sidecar]->module.OnAbandoned(now_, id);
       });
     }
-    calls_of(sidecar)[call.id] = call;
+    CallsOf(sidecar)[call.id] = call;
     return call.id;
   }
 
-  void At(Micros at, std::function<void()> what) {
+  void Schedule(Micros at, std::function<void()> what) {
     events_.push({std::max(at, now_), next_order_++, std::move(what)});
   }
   void RunUntil(Micros until) {
@@ -209,8 +209,8 @@
   Engine& engine(std::size_t index) { return *engines_[index]; }
   std::size_t engines() const { return engines_.size(); }
   std::size_t sidecars() const { return nodes_.size(); }
-  const std::map<CallId, Record>& records() const { return records_; }
-  Record& record(CallId id) { return records_[id]; }
+  const std::map<CallId, CallRecord>& records() const { return records_; }
+  CallRecord& record(CallId id) { return records_[id]; }
   std::uint64_t sends() const { return sends_; }
 
   gaugecart::Draws draws;
@@ -228,16 +228,16 @@
   };
 
   struct Node : Actions {
-    Node(World& in, std::size_t number, std::uint64_t seed)
-        : world(in), index(number), module(seed * 100 + number, *this) {}
+    Node(Simulation& in, std::size_t number, std::uint64_t seed)
+        : simulation(in), index(number), module(seed * 100 + number, *this) {}
 
     void Send(CallId call, std::uint32_t attempt, const std::string& endpoint) override {
-      Record& record = world.records_[call];
-      if (record.sent < 0) record.sent = world.now_;
+      CallRecord& record = simulation.records_[call];
+      if (record.first_sent_at < 0) record.first_sent_at = simulation.now_;
       ++record.sends;
-      ++world.sends_;
-      world.At(world.now_ + kMillisecond / 2, [this, call, attempt, endpoint] {
-        for (auto& engine : world.engines_) {
+      ++simulation.sends_;
+      simulation.Schedule(simulation.now_ + kMillisecond / 2, [this, call, attempt, endpoint] {
+        for (auto& engine : simulation.engines_) {
           if (engine->id() == endpoint && calls.contains(call)) {
             engine->Arrive({index, call, attempt, calls.at(call)});
           }
@@ -245,16 +245,16 @@
       });
     }
     void Refuse(CallId call, Micros) override {
-      World::Close(world.records_[call], world.now_).refused = true;
+      Simulation::MarkEnded(simulation.records_[call], simulation.now_).refused = true;
     }
     void Fail(CallId call) override {
-      World::Close(world.records_[call], world.now_).failed = true;
+      Simulation::MarkEnded(simulation.records_[call], simulation.now_).failed = true;
     }
     void SetTimer(Micros at) override {
-      world.At(at, [this] { module.OnTimer(world.now_); });
+      simulation.Schedule(at, [this] { module.OnTimer(simulation.now_); });
     }
 
-    World& world;
+    Simulation& simulation;
     std::size_t index;
     std::map<CallId, Call> calls;
     Module module;
@@ -264,25 +264,25 @@
     return "edge-" + std::to_string(seed_) + "-" + std::to_string(sidecar);
   }
 
-  static Record& Close(Record& record, Micros now) {
-    record.ended = now;
+  static CallRecord& MarkEnded(CallRecord& record, Micros now) {
+    record.ended_at = now;
     return record;
   }
 
-  std::map<CallId, Call>& calls_of(std::size_t sidecar) { return nodes_[sidecar]->calls; }
+  std::map<CallId, Call>& CallsOf(std::size_t sidecar) { return nodes_[sidecar]->calls; }
 
   // The endpoint's answer on its way back; `again` as the proxy would tell it.
-  void Tell(std::size_t sidecar, CallId call, std::uint32_t attempt, Outcome outcome) {
-    At(now_ + kMillisecond / 2, [this, sidecar, call, attempt, outcome] {
-      Record& record = records_[call];
-      if (record.ended >= 0) return;
-      const bool again = outcome != Outcome::kSuccess && outcome != Outcome::kError;
-      if (!again) {
-        record.ended = now_;
+  void DeliverOutcome(std::size_t sidecar, CallId call, std::uint32_t attempt, Outcome outcome) {
+    Schedule(now_ + kMillisecond / 2, [this, sidecar, call, attempt, outcome] {
+      CallRecord& record = records_[call];
+      if (record.ended_at >= 0) return;
+      const bool may_continue = outcome != Outcome::kSuccess && outcome != Outcome::kError;
+      if (!may_continue) {
+        record.ended_at = now_;
         record.served = outcome == Outcome::kSuccess;
         record.failed = !record.served;
       }
-      nodes_[sidecar]->module.OnOutcome(now_, call, attempt, outcome, again);
+      nodes_[sidecar]->module.OnOutcome(now_, call, attempt, outcome, may_continue);
     });
   }
 
@@ -291,7 +291,7 @@
   Micros now_ = 0;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::map<CallId, Record> records_;
+  std::map<CallId, CallRecord> records_;
   std::priority_queue<Event> events_;
   std::uint64_t next_order_ = 0;
   CallId last_call_ = 0;
@@ -300,100 +300,101 @@
 
 inline void Engine::Arrive(const Work& work) {
   ++arrived;
-  if (trouble == Trouble::kDark) return;
-  if (trouble == Trouble::kRefused) {
-    return world_.Tell(work.sidecar, work.call, work.attempt, Outcome::kNeverSent);
+  if (fault == Fault::kUnresponsive) return;
+  if (fault == Fault::kUnreachable) {
+    return simulation_.DeliverOutcome(work.sidecar, work.call, work.attempt, Outcome::kNeverSent);
   }
-  if (trouble == Trouble::kErrors) {
-    return world_.Tell(work.sidecar, work.call, work.attempt, Outcome::kError);
+  if (fault == Fault::kFailing) {
+    return simulation_.DeliverOutcome(work.sidecar, work.call, work.attempt, Outcome::kError);
   }
   const bool full = static_cast<int>(running_.size()) >= options_.slots;
-  if (trouble == Trouble::kFull || (full && waiting_.size() >= options_.most_waiting)) {
-    return world_.Tell(work.sidecar, work.call, work.attempt, Outcome::kNotRun);
+  if (fault == Fault::kRejecting || (full && waiting_.size() >= options_.max_waiting)) {
+    return simulation_.DeliverOutcome(work.sidecar, work.call, work.attempt, Outcome::kNotRun);
   }
   if (full) {
     waiting_.push_back(work);
   } else {
-    Admit(work);
+    StartCall(work);
   }
 }
 
-inline void Engine::Leave(std::size_t sidecar, CallId call) {
+inline void Engine::Cancel(std::size_t sidecar, CallId call) {
   std::erase_if(waiting_, [&](const Work& w) { return w.sidecar == sidecar && w.call == call; });
   running_.erase({sidecar, call});
 }
 
-inline void Engine::Admit(const Work& work) {
+inline void Engine::StartCall(const Work& work) {
   running_[{work.sidecar, work.call}] = work;
-  most_running = std::max(most_running, running_.size());
-  const auto tokens = static_cast<double>(Read(work.what));
-  const auto reading = static_cast<Micros>(tokens * options_.micros_per_prompt_token * slowness);
-  reader_free_ = std::max(reader_free_, world_.now()) + reading;
-  world_.At(reader_free_, [this, work] { Step(work, 0); });
+  max_running = std::max(max_running, running_.size());
+  const auto tokens = static_cast<double>(Prefill(work.what));
+  const auto prefill = static_cast<Micros>(tokens * options_.micros_per_prompt_token * slowness);
+  prefill_free_at_ = std::max(prefill_free_at_, simulation_.now()) + prefill;
+  simulation_.Schedule(prefill_free_at_, [this, work] { EmitEvent(work, 0); });
 }
 
-inline void Engine::Step(const Work& work, std::uint32_t done) {
-  if (!running_.contains({work.sidecar, work.call}) || trouble == Trouble::kDark) return;
-  constexpr std::uint32_t kPiece = 8;
-  const std::uint32_t left = work.what.output_tokens - std::min(done, work.what.output_tokens);
-  const std::uint32_t piece = std::min(kPiece, left);
-  world_.At(world_.now() + kMillisecond / 2,
-            [this, work, done, piece, running = running_.size(), waiting = waiting_.size()] {
-              Record& record = world_.record(work.call);
-              if (record.ended >= 0) return;
-              Module& module = world_.module(work.sidecar);
-              if (done == 0) {
-                record.first_event = world_.now();
-                if (options_.tells_load) {
-                  module.OnLoad(world_.now(), id_, static_cast<std::uint32_t>(running),
-                                static_cast<std::uint32_t>(waiting),
-                                static_cast<std::uint32_t>(options_.slots));
-                }
-                module.OnFirstEvent(world_.now(), work.call, work.attempt);
-              }
-              module.OnProgress(world_.now(), work.call, work.attempt, piece);
-            });
-  if (left <= piece) return End(work, Outcome::kSuccess);
+inline void Engine::EmitEvent(const Work& work, std::uint32_t done) {
+  if (!running_.contains({work.sidecar, work.call}) || fault == Fault::kUnresponsive) return;
+  constexpr std::uint32_t kTokensPerEvent = 8;
+  const std::uint32_t remaining = work.what.output_tokens - std::min(done, work.what.output_tokens);
+  const std::uint32_t tokens = std::min(kTokensPerEvent, remaining);
+  simulation_.Schedule(
+      simulation_.now() + kMillisecond / 2,
+      [this, work, done, tokens, running = running_.size(), waiting = waiting_.size()] {
+        CallRecord& record = simulation_.record(work.call);
+        if (record.ended_at >= 0) return;
+        Module& module = simulation_.module(work.sidecar);
+        if (done == 0) {
+          record.first_event_at = simulation_.now();
+          if (options_.reports_load) {
+            module.OnLoad(simulation_.now(), id_, static_cast<std::uint32_t>(running),
+                          static_cast<std::uint32_t>(waiting),
+                          static_cast<std::uint32_t>(options_.slots));
+          }
+          module.OnFirstEvent(simulation_.now(), work.call, work.attempt);
+        }
+        module.OnProgress(simulation_.now(), work.call, work.attempt, tokens);
+      });
+  if (remaining <= tokens) return Finish(work, Outcome::kSuccess);
   const double load = 1.0 + static_cast<double>(running_.size()) / options_.slots;
-  const double span = options_.micros_per_output_token * piece * load * slowness;
-  world_.At(world_.now() + static_cast<Micros>(span),
-            [this, work, done, piece] { Step(work, done + piece); });
+  const double span = options_.micros_per_output_token * tokens * load * slowness;
+  simulation_.Schedule(simulation_.now() + static_cast<Micros>(span),
+                       [this, work, done, tokens] { EmitEvent(work, done + tokens); });
 }
 
-inline void Engine::End(const Work& work, Outcome outcome) {
+inline void Engine::Finish(const Work& work, Outcome outcome) {
   running_.erase({work.sidecar, work.call});
-  world_.Tell(work.sidecar, work.call, work.attempt, outcome);
+  simulation_.DeliverOutcome(work.sidecar, work.call, work.attempt, outcome);
   while (!waiting_.empty() && static_cast<int>(running_.size()) < options_.slots) {
     const Work next = waiting_.front();
     waiting_.pop_front();
-    Admit(next);
+    StartCall(next);
   }
 }
 
 // Tokens of the prompt that are not kept; all of them are kept afterwards.
-inline std::uint64_t Engine::Read(const Call& call) {
-  std::uint64_t kept = 0;
+inline std::uint64_t Engine::Prefill(const Call& call) {
+  std::uint64_t cached = 0;
   bool all = true;
   for (std::size_t i = 0; i < call.prompt.size(); ++i) {
     const PromptPart& part = call.prompt[i];
-    all = all && kept_.contains(part.id);
-    if (all) kept += part.tokens;
-    if (!all && i + 1 < call.prompt.size()) ++shared_parts_read;
-    if (!kept_.contains(part.id)) kept_sum_ += part.tokens;
-    kept_[part.id] = ++uses_;
-    kept_tokens_[part.id] = part.tokens;
+    all = all && cached_.contains(part.id);
+    if (all) cached += part.tokens;
+    if (!all && i + 1 < call.prompt.size()) ++shared_parts_prefilled;
+    if (!cached_.contains(part.id)) cached_tokens_ += part.tokens;
+    cached_[part.id] = ++use_count_;
+    cached_part_tokens_[part.id] = part.tokens;
   }
-  while (kept_sum_ > options_.kv_tokens) {
+  while (cached_tokens_ > options_.kv_tokens) {
     const auto oldest =
-        std::min_element(kept_.begin(), kept_.end(),
+        std::min_element(cached_.begin(), cached_.end(),
                          [](const auto& a, const auto& b) { return a.second < b.second; });
-    kept_sum_ -= kept_tokens_[oldest->first];
-    kept_.erase(oldest);
+    cached_tokens_ -= cached_part_tokens_[oldest->first];
+    cached_.erase(oldest);
   }
-  const std::uint64_t to_read =
-      call.prompt_tokens - std::min<std::uint64_t>(kept, call.prompt_tokens);
-  prompt_tokens_read += to_read;
-  return to_read;
+  const std::uint64_t uncached =
+      call.prompt_tokens - std::min<std::uint64_t>(cached, call.prompt_tokens);
+  prompt_tokens_prefilled += uncached;
+  return uncached;
 }
 
 }  // namespace shelflink::policy::testing
