--- a/src/tier/policy/batch_owners.cpp
+++ b/src/tier/policy/batch_owners.cpp
@@ -9,7 +9,8 @@
 namespace shelflink::policy {
 namespace {
 
-// Of each sidecar on the ring: its part of the endpoints then differs by about a quarter.
+// Virtual nodes of each sidecar on the hash ring; with 16 the number of endpoints that a sidecar
+// owns varies by about a quarter.
 constexpr std::uint64_t kPointsPerSidecar = 16;
 
 }  // namespace
--- a/src/tier/policy/batch_owners.h
+++ b/src/tier/policy/batch_owners.h
@@ -1,11 +1,11 @@
-// Which sidecar sends batch calls to which endpoint. Pure.
+// Assigns each endpoint to the one sidecar that sends batch calls to it. No I/O and no clock.
 //
-// Live calls of all sidecars meet at an endpoint, and no sidecar sees those of the others. Batch
-// calls are sent by one owner an endpoint, so the owner knows how many of them run there and can
-// keep slots free for live calls without asking anyone. The owner is found by consistent hashing
-// over the ready sidecars of the endpoint's zone, or of all zones where that zone has none.
-// Sidecars with the same list agree; while lists differ, two of them may own an endpoint for a
-// moment.
+// All sidecars send live calls to an endpoint, and no sidecar sees those of the others. Batch calls
+// come from a single owner per endpoint, so the owner knows how many of them run there and can keep
+// slots free for live calls without coordination. The owner is chosen by consistent hashing over
+// the ready sidecars of the endpoint's zone, or of all zones if that zone has none. Sidecars with
+// the same member list agree on the owner; while their lists differ, two sidecars may own an
+// endpoint for a short time.
 #ifndef SHELFLINK_TIER_POLICY_BATCH_OWNERS_H_
 #define SHELFLINK_TIER_POLICY_BATCH_OWNERS_H_
 
@@ -22,10 +22,12 @@
   struct Sidecar {
     std::string node;
     std::string zone;
-    auto operator<=>(const Sidecar&) const = default;  // NOLINT(modernize-use-nullptr): its error.
+    auto operator<=>(const Sidecar&) const =
+        default;  // NOLINT(modernize-use-nullptr): false positive.
   };
 
-  // The ready sidecars. Without any, nobody is an owner. Returns whether they differ from before.
+  // Sets the ready sidecars; with an empty list no endpoint has an owner. Returns whether the list
+  // has changed.
   bool SetSidecars(std::vector<Sidecar> sidecars);
   bool Owns(const std::string& node, const std::string& endpoint_id,
             const std::string& endpoint_zone) const;
@@ -34,9 +36,10 @@
   struct Point {
     std::uint64_t position = 0;
     std::uint64_t node_hash = 0;
-    auto operator<=>(const Point&) const = default;  // NOLINT(modernize-use-nullptr): its error.
+    auto operator<=>(const Point&) const =
+        default;  // NOLINT(modernize-use-nullptr): false positive.
   };
-  using Ring = std::vector<Point>;  // Sorted.
+  using Ring = std::vector<Point>;  // Hash ring, sorted by position.
 
   std::vector<Sidecar> sidecars_;  // Sorted.
   std::map<std::string, Ring> rings_by_zone_;
--- a/src/tier/policy/batch_start_delay.h
+++ b/src/tier/policy/batch_start_delay.h
@@ -1,8 +1,9 @@
-// How long a batch call takes to its first event where it finds a free slot. Pure.
+// Estimates how long a batch call takes to its first event when it finds a free slot, in order to
+// tell how long a call waited for one. No I/O and no clock.
 //
-// It is the least that was seen lately, without the reading of the prompt: an average would rise
-// with the waits that it is to tell, and under a lasting overload nothing would look like a wait
-// any more.
+// The estimate is the recent minimum of the time to the first event less the prefill time. An
+// average would rise with the waits that it is meant to detect, and under sustained overload no
+// call would seem to wait any more.
 #ifndef SHELFLINK_TIER_POLICY_BATCH_START_DELAY_H_
 #define SHELFLINK_TIER_POLICY_BATCH_START_DELAY_H_
 
@@ -13,8 +14,8 @@
 
 class BatchStartDelay {
  public:
-  // A first event came `took` microseconds after the call was sent, `reading` of them for its
-  // prompt as far as is known. Returns how long it waited beyond the least.
+  // Records a first event `elapsed` microseconds after the call was sent, of which about `prefill`
+  // microseconds were prompt prefill. Returns the wait in microseconds beyond the minimum.
   double Note(double elapsed, double prefill) {
     const double start_delay = std::max(0.0, elapsed - prefill);
     minimum_ = minimum_ ? std::min(*minimum_ * kMinimumGrowth, start_delay) : start_delay;
@@ -22,8 +23,8 @@
   }
 
  private:
-  static constexpr double kMinimumGrowth =
-      1.01;  // Of the least, with each call: it may have become longer.
+  // Factor on the minimum with each call, so that it follows an endpoint that became slower.
+  static constexpr double kMinimumGrowth = 1.01;
 
   std::optional<double> minimum_;  // Microseconds.
 };
--- a/src/tier/policy/endpoint.cpp
+++ b/src/tier/policy/endpoint.cpp
@@ -8,17 +8,17 @@
 namespace shelflink::policy {
 namespace {
 
-// A list that is behind goes on naming the instance that has lost its address.
+// An outdated endpoint list still names the instance that has lost its address.
 constexpr Micros kMisdirectedBackOff = 10'000'000;
-constexpr double kLoadReportDecay = 2e6;    // Microseconds in which a told load is forgotten.
-constexpr double kLatencyRatioGain = 0.2;   // Weight of one first event in an endpoint's pace.
-constexpr double kLatencyRatioDecay = 5e6;  // Microseconds in which an old pace is forgotten.
-constexpr double kMaxLatencyRatio = 8.0;    // Slower than this tells no more.
-// Of the slots that all calls take, beyond which no batch call is added.
+constexpr double kLoadReportDecayMicros = 2e6;    // Time constant of a reported load.
+constexpr double kLatencyRatioGain = 0.2;         // Weight of one first event.
+constexpr double kLatencyRatioDecayMicros = 5e6;  // Time constant of the decay towards 1.
+constexpr double kMaxLatencyRatio = 8.0;          // Larger ratios are clamped.
+// Fraction of the slots in use by all calls, above which no batch call is added.
 constexpr double kBatchThresholdFraction = 0.8;
-// Batch prompts that an endpoint is given to read at once, among those of live calls.
+// Batch calls in prefill at an endpoint at a time, because live calls share its prefill.
 constexpr double kMaxBatchPrefills = 2.0;
-constexpr int kMaxBackOffDoublings = 3;  // How often the rest of a full endpoint doubles.
+constexpr int kMaxBackOffDoublings = 3;  // Of the back-off delay.
 
 std::uint64_t KvTokensOf(const Call& call) {
   return std::uint64_t{call.prompt_tokens} + call.output_tokens;
@@ -133,11 +133,12 @@
 
 double Endpoint::OtherCalls(Micros now) const {
   return reported_other_calls_ *
-         std::exp(-static_cast<double>(now - reported_at_) / kLoadReportDecay);
+         std::exp(-static_cast<double>(now - reported_at_) / kLoadReportDecayMicros);
 }
 
 double Endpoint::OtherCallsWaiting(Micros now) const {
-  return reported_waiting_ * std::exp(-static_cast<double>(now - reported_at_) / kLoadReportDecay);
+  return reported_waiting_ *
+         std::exp(-static_cast<double>(now - reported_at_) / kLoadReportDecayMicros);
 }
 
 double Endpoint::WeightedCalls(Micros now) const {
@@ -156,8 +157,8 @@
 }
 
 double Endpoint::LatencyRatio(Micros now) const {
-  return 1.0 + (latency_ratio_ - 1.0) *
-                   std::exp(-static_cast<double>(now - latency_ratio_at_) / kLatencyRatioDecay);
+  return 1.0 + (latency_ratio_ - 1.0) * std::exp(-static_cast<double>(now - latency_ratio_at_) /
+                                                 kLatencyRatioDecayMicros);
 }
 
 double Endpoint::Coldness(Micros now) const {
--- a/src/tier/policy/endpoint.h
+++ b/src/tier/policy/endpoint.h
@@ -1,5 +1,5 @@
-// What this sidecar knows of one endpoint: what it has out there, what the endpoint told of its
-// load, which prompt parts it keeps, how it does.
+// State that this sidecar keeps about one endpoint: its own attempts in flight there, the load that
+// the endpoint reported, the prompt parts in its cache, its latency and its health.
 #ifndef SHELFLINK_TIER_POLICY_ENDPOINT_H_
 #define SHELFLINK_TIER_POLICY_ENDPOINT_H_
 
@@ -19,36 +19,36 @@
  public:
   explicit Endpoint(std::uint64_t hash) : hash_(hash) {}
 
-  // From the list.
+  // Applies the entry of the endpoint list; `kv_tokens` is the capacity of the KV cache.
   void Update(Micros now, const EndpointInfo& info, std::uint64_t kv_tokens);
   void SetListed(bool listed) { listed_ = listed; }
-  // Another instance has its address: nothing goes there for a while.
+  // Records that another instance now has its address: the endpoint is not usable for 10 seconds.
   void NoteMisdirected(Micros now);
-  // Whether anything may be sent to it at all.
+  // Whether calls may be sent to it: listed, not draining and not recently misdirected.
   bool Usable(Micros now) const;
 
-  // Attempts.
-  // Its sums hold what the attempt carries until RemoveAttempt.
+  // Attempts. The totals of this object include the attempt from AddAttempt to RemoveAttempt.
   void AddAttempt(Attempt& attempt, const Call& call);
   void NoteFirstEvent(Micros now, Attempt& attempt, const Call& call);
   void NoteProgress(Micros now, Attempt& attempt, std::uint32_t tokens);
   void RemoveAttempt(Attempt& attempt, const Call& call);
-  // It has shown a sign of life.
+  // Records that something was received from the endpoint.
   void NoteActivity(Micros now);
-  // Turned the call away, or could not be connected to: passed over for `rest`, doubling.
+  // Starts a back-off after a rejected call or a failed connection. The delay starts at
+  // `base_delay` and doubles each time, up to three times, until a first event arrives.
   void BackOff(Micros now, Micros base_delay);
   bool BackingOff(Micros now) const { return now < back_off_until_; }
-  // A first event is overdue, and nothing has come from it for as long.
+  // Whether a first event is overdue and nothing was received for the length of its timeout.
   bool Unresponsive(Micros now) const;
   Micros last_activity() const { return last_activity_; }
 
-  // Load.
+  // Load. NoteLoad records a report of the endpoint about all its calls.
   void NoteLoad(Micros now, std::uint32_t running, std::uint32_t waiting, std::uint32_t slots);
-  // Calls of others there, as last told, fading.
+  // Calls of other sidecars, as last reported, decaying exponentially.
   double OtherCalls(Micros now) const;
-  // Those of them that wait for a slot.
+  // The part of OtherCalls that waits for a slot.
   double OtherCallsWaiting(Micros now) const;
-  // All calls there; an own stream near its end weighs less.
+  // Calls of all sidecars. An own call counts from 1 down to 0.5 as its output is produced.
   double WeightedCalls(Micros now) const;
   int slots() const { return slots_; }
   std::size_t calls() const { return calls_; }
@@ -59,15 +59,15 @@
   BatchLimit& batch_limit() { return batch_limit_; }
   const BatchLimit& batch_limit() const { return batch_limit_; }
   std::size_t batch_calls() const { return batch_calls_; }
-  // Calls of any kind there, beyond which no batch call is added.
+  // Number of calls of any kind above which no batch call is added.
   double BatchAdmissionThreshold() const;
-  // More batch calls that may be sent there now; fractions included.
+  // Further batch calls that may be sent now; may be fractional.
   double BatchRoom(Micros now) const;
 
-  // Time to the first event against what was expected.
+  // Ratio of the measured to the predicted time to the first event, smoothed; it decays towards 1.
   void NoteLatencyRatio(Micros now, double ratio);
   double LatencyRatio(Micros now) const;
-  // From 1 (just started) to 0.
+  // Remaining part of the warm-up: 1 when just started, 0 when warm.
   double Coldness(Micros now) const;
 
   const EndpointInfo& info() const { return info_; }
@@ -91,10 +91,11 @@
   std::size_t batch_prefills_ = 0;  // Batch calls before their first event.
   BatchLimit batch_limit_;
   std::uint64_t queued_prefill_tokens_ = 0;
-  std::uint64_t remaining_output_tokens_ = 0;  // Still to come on own calls.
-  std::uint64_t total_output_tokens_ = 0;      // The same when they were sent.
+  std::uint64_t remaining_output_tokens_ = 0;  // Of own calls, not produced yet.
+  std::uint64_t total_output_tokens_ = 0;      // Of own calls, when they were sent.
   std::uint64_t kv_tokens_in_use_ = 0;
-  std::multiset<std::pair<Micros, Micros>> timeouts_;  // When, and after what time-out.
+  // Of attempts before their first event: when it becomes overdue, and the timeout.
+  std::multiset<std::pair<Micros, Micros>> timeouts_;
   Micros last_activity_ = 0;
   Micros back_off_until_ = 0;
   int consecutive_back_offs_ = 0;
--- a/src/tier/policy/first_event_model.cpp
+++ b/src/tier/policy/first_event_model.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// Prompts of one size tell nothing of what a token takes: below this part of the mean square their
-// spread is taken for noise.
+// Prompts of equal size do not reveal the time per token: a variance below this fraction of the
+// mean square is treated as noise.
 constexpr double kMinRelativeVariance = 0.01;
 
-// The least part of the mean time that is laid at the prompt's door: noise must not make reading
-// free.
+// Minimum fraction of the mean time attributed to prefill, so that noise cannot make the estimated
+// prefill cost zero.
 constexpr double kMinPrefillShare = 0.05;
 
 }  // namespace
--- a/src/tier/policy/first_event_model.h
+++ b/src/tier/policy/first_event_model.h
@@ -1,5 +1,5 @@
-// How long an endpoint takes to the first event: a base and so much for each prompt token that it
-// has to read before. Learned by least squares that forget.
+// Predicts the time from sending a call to its first event: a base time plus a time for each prompt
+// token to prefill before it. Fitted by least squares with exponential forgetting.
 #ifndef SHELFLINK_TIER_POLICY_FIRST_EVENT_MODEL_H_
 #define SHELFLINK_TIER_POLICY_FIRST_EVENT_MODEL_H_
 
@@ -7,19 +7,24 @@
 
 class FirstEventModel {
  public:
-  // One first event: tokens that were to be read, and the time that it took in microseconds.
+  // Adds a sample: prompt tokens to prefill before the first event, and the time to that event in
+  // microseconds.
   void Note(double tokens, double micros);
+  // Microseconds.
   double Base() const { return base_; }
+  // Microseconds for each prompt token.
   double PerToken() const { return per_token_; }
+  // Microseconds to the first event after prefilling that many tokens.
   double Expected(double tokens) const { return base_ + per_token_ * tokens; }
-  // Whether enough has been seen to judge an endpoint by it.
+  // Whether there are enough samples to compare an endpoint with the prediction.
   bool HasEnoughSamples() const { return weight_ >= kMinWeight; }
 
  private:
-  static constexpr double kDecay = 0.98;  // Weight that a sample keeps with each that follows.
-  static constexpr double kMinWeight = 4.0;
-  static constexpr double kInitialBase = 10'000.0;  // Microseconds; replaced by the first samples.
-  static constexpr double kInitialPerToken = 1.0;
+  static constexpr double kDecay =
+      0.98;  // Factor on the weight of older samples with each new one.
+  static constexpr double kMinWeight = 4.0;         // Decayed number of samples.
+  static constexpr double kInitialBase = 10'000.0;  // Microseconds, until there are samples.
+  static constexpr double kInitialPerToken = 1.0;   // Microseconds, until there are samples.
 
   double base_ = kInitialBase;
   double per_token_ = kInitialPerToken;
--- a/src/tier/policy/long_prompt_pool.cpp
+++ b/src/tier/policy/long_prompt_pool.cpp
@@ -7,18 +7,18 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kLongPrefillOfObjective =
-    0.1;                                  // Of the objective, from which on a prompt is long.
-constexpr double kDecay = 0.999;          // Of a fading sum, with each call noted.
-constexpr std::size_t kMinCalls = 100;    // Calls before the share is trusted.
-constexpr std::size_t kMinEndpoints = 4;  // Fewer are not divided.
-constexpr double kMinLongShare = 0.1;  // Of the time spent reading; below it nothing is kept apart.
+// Prefill time as a fraction of the first-event objective, from which a prompt counts as long.
+constexpr double kLongPrefillOfObjective = 0.1;
+constexpr double kDecay = 0.999;          // Factor on the sums with each call.
+constexpr std::size_t kMinCalls = 100;    // Before the share is used.
+constexpr std::size_t kMinEndpoints = 4;  // Fewer are not split.
+constexpr double kMinLongShare = 0.1;     // Of prefill time; below it there is no pool.
 constexpr double kMaxPoolFraction = 0.5;  // Of the endpoints.
-// Endpoints for long prompts, by their share of the reading: less than in proportion, since calls
-// with short prompts run for longer than they are read.
+// Fraction of the endpoints per unit of long prompts' share of prefill time. It is below 1 because
+// calls with short prompts run longer than their prefill.
 constexpr double kPoolFractionOfShare = 0.85;
-constexpr double kResizeThreshold =
-    0.75;  // Endpoints by which the wish must differ before it is followed.
+// Hysteresis: endpoints by which the desired size must differ from the present one to change it.
+constexpr double kResizeThreshold = 0.75;
 
 }  // namespace
 
--- a/src/tier/policy/long_prompt_pool.h
+++ b/src/tier/policy/long_prompt_pool.h
@@ -1,6 +1,7 @@
-// Keeps long prompts apart: while an endpoint reads a long prompt, the events of all streams that
-// it runs come late. A few of a service's endpoints, the same at every sidecar, are preferred for
-// long prompts and the others for short ones; how many follows from what is being read. Pure.
+// Separates long prompts from short ones: while an endpoint prefills a long prompt, the events of
+// all streams on it are delayed. A few endpoints of a service, the same at every sidecar, are
+// preferred for long prompts and the others for short ones. The number follows from the share of
+// prefill time that long prompts take. No I/O and no clock.
 #ifndef SHELFLINK_TIER_POLICY_LONG_PROMPT_POOL_H_
 #define SHELFLINK_TIER_POLICY_LONG_PROMPT_POOL_H_
 
@@ -12,16 +13,16 @@
 
 class LongPromptPool {
  public:
-  // Hashes of the endpoints in service; which of them are for long prompts depends on nothing else
-  // than these and the share.
+  // Sets the hashes of the endpoints in service. Pool membership depends only on these and on the
+  // share of long prompts.
   void SetEndpoints(std::vector<std::uint64_t> hashes);
-  // A prompt is long if reading it takes this part of the objective or more.
+  // Whether the prefill time is long compared with the first-event objective.
   static bool IsLong(double prefill_micros, double objective_micros);
-  // A call has been sent whose prompt takes so long to read.
+  // Records a sent call by the prefill time of its prompt.
   void Note(double prefill_micros, double objective_micros);
-  // Whether long prompts are kept apart at all.
+  // Whether long prompts are separated at present.
   bool active() const { return size_ > 0; }
-  // Whether the endpoint is one of those for long prompts.
+  // Whether the endpoint is preferred for long prompts.
   bool Contains(std::uint64_t endpoint_hash) const;
   std::size_t size() const { return size_; }
 
@@ -29,7 +30,7 @@
   void UpdateSize();
 
   std::vector<std::uint64_t> hashes_;  // Sorted.
-  double long_prefill_micros_ = 0.0;   // Fading sums of time.
+  double long_prefill_micros_ = 0.0;   // Exponentially decaying sum.
   double total_prefill_micros_ = 0.0;
   std::size_t calls_ = 0;
   std::size_t size_ = 0;
--- a/src/tier/policy/module.cpp
+++ b/src/tier/policy/module.cpp
@@ -18,21 +18,31 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kMaxWaitPerTimeout = 0.05;    // Longest wait in a queue, as part of the timeout...
-constexpr double kMaxWaitPerObjective = 0.25;  // ...and of the objective: later a refusal is late.
-constexpr double kInitialLimitFactor = 2.0;  // First limit, in even shares of all endpoints' slots.
-constexpr double kMinLimitFactor = 0.5;      // The least the limit falls to, likewise.
-constexpr double kReservedSlotShare =
-    0.25;  // Part of its pool that a lower level may use in any case.
-constexpr double kFirstEventFactor = 4.0;  // Expected times to a first event until it is overdue...
-constexpr double kMinFirstEventTimeout = 0.25;  // ...at least so many objectives...
-constexpr double kMaxFirstEventTimeout = 2.0;   // ...and at most so many.
-constexpr double kBatchFirstEventTimeout =
-    5.0;                                   // Of batch calls, which endpoints let wait for others.
-constexpr double kMinRetryTime = 0.1;      // Objectives that a retry must have left.
-constexpr double kRetryAfterMin = 0.5;     // Objectives after which a refused call may come back...
-constexpr double kRetryAfterSpread = 1.0;  // ...and so many more, drawn for each...
-constexpr double kRetryAfterMaxShare = 0.25;  // ...but never beyond this part of its time left.
+// Longest wait in a queue: the lower of these fractions of the timeout and of the objective. After
+// a longer wait the refusal itself would be late.
+constexpr double kMaxWaitPerTimeout = 0.05;
+constexpr double kMaxWaitPerObjective = 0.25;
+
+// Initial and lowest limit, in multiples of this sidecar's even share of all endpoints' slots.
+constexpr double kInitialLimitFactor = 2.0;
+constexpr double kMinLimitFactor = 0.5;
+// Fraction of its pool with which a lower level may use reserved slots.
+constexpr double kReservedSlotShare = 0.25;
+
+// Timeout of a first event: this multiple of the predicted time, with bounds in objectives.
+constexpr double kFirstEventFactor = 4.0;
+constexpr double kMinFirstEventTimeout = 0.25;
+constexpr double kMaxFirstEventTimeout = 2.0;
+// Objectives, for batch calls, which endpoints delay in favour of live ones.
+constexpr double kBatchFirstEventTimeout = 5.0;
+
+constexpr double kMinRetryTime = 0.1;  // Objectives that must be left before the deadline.
+// Retry-after advice of a refused call: a minimum plus a random spread, both in objectives, but at
+// most this fraction of the time to its deadline.
+constexpr double kRetryAfterMin = 0.5;
+constexpr double kRetryAfterSpread = 1.0;
+constexpr double kRetryAfterMaxShare = 0.25;
+
 Micros Scale(double fraction, Micros span) {
   return static_cast<Micros>(fraction * static_cast<double>(span));
 }
@@ -70,7 +80,7 @@
   void OnCall(Micros now, const Call& call) {
     SetTime(now);
     const auto [it, inserted] = calls_.try_emplace(call.id);
-    if (!inserted) return;  // An id never comes twice; a repeat changes nothing.
+    if (!inserted) return;  // Duplicate id: ignored.
     PendingCall& pending = it->second;
     pending.call = call;
     if (Mutated(Mutant::kSingleFlow)) pending.call.flow = 0;
@@ -107,7 +117,7 @@
     PendingCall* pending = FindCall(id);
     Attempt* attempt = AttemptInFlight(pending, number);
     if (attempt == nullptr) return;
-    // What was never sent and is not to go on was given up on this side.
+    // An attempt that was never sent and may not continue was cancelled by this sidecar.
     const bool cancelled = outcome == Outcome::kNeverSent && !may_continue;
     RecordOutcome(*pending, *attempt, cancelled ? Outcome::kCancelled : outcome);
     attempt->rejected = outcome == Outcome::kNotRun || outcome == Outcome::kMisdirected;
@@ -128,7 +138,7 @@
     if (pending == nullptr) return;
     for (Attempt& attempt : pending->attempts) {
       if (!attempt.in_flight) continue;
-      // A caller that left because nothing came tells what a time-out tells.
+      // A caller that left after the first-event timeout counts as a timeout of the endpoint.
       const bool overdue =
           !attempt.first_event_received && now - attempt.sent >= attempt.first_event_timeout;
       RecordOutcome(*pending, attempt, overdue ? Outcome::kTimeout : Outcome::kCancelled);
@@ -194,7 +204,7 @@
     if (!levels_.AnyWaiting()) {
       if (const std::uint32_t room = services_.BatchRoom(now); room > 0) return room;
     }
-    // Where live calls wait or slots are short, one at a time: batch is not to stand still.
+    // If live calls wait or slots are short, one batch call at a time, so that batch progresses.
     if (Mutated(Mutant::kStarveLowerLevels)) return 0;
     return in_flight == 0 && services_.CanRunBatch(now) ? 1 : 0;
   }
@@ -214,10 +224,10 @@
   Micros MaxQueueWait(const PendingCall& pending) const {
     const Call& call = pending.call;
     if (Mutated(Mutant::kUnboundedWait)) return call.deadline - now_;
-    if (call.batch || call.timeout <= 0) return 0;  // Batch items wait in the store.
+    if (call.batch || call.timeout <= 0) return 0;  // Batch items queue in the job store.
     Micros wait = std::min(Scale(kMaxWaitPerTimeout, call.timeout),
                            Scale(kMaxWaitPerObjective, ObjectiveOf(call)));
-    // Leave the work its usual time: a wait that eats it wins nothing.
+    // Leave enough time to run the call: after a longer wait it would miss its deadline.
     if (call.deadline != kNever)
       wait = std::min(wait, call.deadline - now_ - levels_.TypicalSeatTime(call.level));
     return wait;
@@ -256,8 +266,8 @@
     }
   }
 
-  // The last slots of an endpoint are left to the first level, but for so few calls of the others
-  // that none of them is starved while the first takes all there is.
+  // Some slots of an endpoint are reserved for level 0. The other levels may use them for a few
+  // calls, so that they are not starved while level 0 uses all the capacity.
   bool MayUseReservedSlots(const Call& call) const {
     const std::size_t in_flight = levels_.in_flight(call.level);
     if (call.level == 0) return true;
@@ -318,7 +328,7 @@
                       Scale(kMaxFirstEventTimeout, objective));
   }
 
-  // The attempt is over; its seat and what it held at the endpoint are free.
+  // Releases the capacity that the attempt used in its level and at the endpoint.
   void FinishAttempt(PendingCall& pending, Attempt& attempt) {
     attempt.endpoint->RemoveAttempt(attempt, pending.call);
     attempt.endpoint = nullptr;
@@ -331,7 +341,7 @@
     if (!MaySendAgain(pending, now_)) return false;
     if (pending.call.deadline - now_ < Scale(kMinRetryTime, ObjectiveOf(pending.call)))
       return false;
-    // What never reached an endpoint has cost none any work: it needs no token.
+    // An attempt that reached no endpoint caused no work there and needs no retry token.
     const bool uses_budget = CountsAsSend(outcome);
     if (uses_budget && !retry_budget_.Has() && !Mutated(Mutant::kNoRetryBudget)) return false;
     Endpoint* endpoint = Pick(pending).endpoint;
@@ -352,7 +362,7 @@
     RemoveCall(pending);
   }
 
-  // Those refused at one moment must not all be back at one moment.
+  // Randomized, so that calls refused at the same time do not all return at the same time.
   Micros RetryAfter(const Call& call) const {
     const double jitter = gaugecart::Unit(gaugecart::Mix(seed_ ^ call.id));
     const Micros retry_after =
@@ -367,7 +377,6 @@
     calls_.erase(pending.call.id);
   }
 
-  // The attempt's prompt has been read, whatever else its first event tells.
   void RecordFirstEvent(const PendingCall& pending, Attempt& attempt) {
     feedback_.NoteFirstEvent(now_, pending, attempt);
   }
--- a/src/tier/policy/mutant.h
+++ b/src/tier/policy/mutant.h
@@ -1,5 +1,6 @@
-// Faults that can be compiled in, one at a time, to see that the tests find them. The program has
-// none: there every question is answered no at compile time, and nothing of it is left.
+// Faults that the mutation test compiles into the decision module and activates one at a time, to
+// check that the scenarios detect them. In the program Mutated() is false at compile time, so no
+// fault code remains.
 #ifndef SHELFLINK_TIER_POLICY_MUTANT_H_
 #define SHELFLINK_TIER_POLICY_MUTANT_H_
 
@@ -7,25 +8,25 @@
 
 enum class Mutant {
   kNone,
-  kSharedPools,             // Every level may take all seats.
-  kSingleFlow,              // All tenants are dealt the same hand.
-  kUnboundedWait,           // A call waits as long as its caller does.
-  kRetryNonRepeatable,      // What may have run is sent again.
-  kRefuseFailures,          // What may have run is refused in place of failed.
-  kExtraAttempts,           // The limit on attempts does not hold.
-  kRetryRejectingEndpoint,  // An endpoint that turned the call away is asked again.
-  kIgnoreDraining,          // Draining endpoints get calls.
-  kIgnoreSilence,           // Overdue first events are not heeded.
-  kNeverEject,              // Failures are not heeded.
-  kIgnoreLatencyRatio,      // A slow endpoint costs no more than another,
-  kIgnoreLoad,              // nor does a loaded one,
-  kIgnorePrefix,            // nor one that has not read the prompt's parts.
-  kNoRetryBudget,           // Retries are not counted.
-  kNoPanic,                 // Where all endpoints are in trouble nothing is sent.
-  kUnboundedBatch,          // The room told for batch heeds neither pool nor slots.
-  kUseReservedSlots,        // Lower levels take every slot.
-  kStarveLowerLevels,  // The last slots are the first level's alone, and batch waits for a calm.
-  kFixedSubset,        // The subset never grows.
+  kSharedPools,             // Every level may use the whole concurrency limit.
+  kSingleFlow,              // All tenants share the same queues.
+  kUnboundedWait,           // A call stays queued until its deadline.
+  kRetryNonRepeatable,      // A non-repeatable call that may have run is sent again.
+  kRefuseFailures,          // A call that may have run is refused instead of failed.
+  kExtraAttempts,           // Up to nine attempts, whatever max_attempts is.
+  kRetryRejectingEndpoint,  // A call is retried at an endpoint that rejected it.
+  kIgnoreDraining,          // Draining endpoints receive calls.
+  kIgnoreSilence,           // Overdue first events do not mark an endpoint unresponsive.
+  kNeverEject,              // Failures do not eject an endpoint.
+  kIgnoreLatencyRatio,      // A slow endpoint costs no more than a fast one.
+  kIgnoreLoad,              // A loaded endpoint costs no more than an idle one.
+  kIgnorePrefix,            // Cached prompt parts are ignored.
+  kNoRetryBudget,           // The retry budget is not enforced.
+  kNoPanic,                 // With only unresponsive or ejected endpoints left, nothing is sent.
+  kUnboundedBatch,          // The room reported for batch ignores limits and slots.
+  kUseReservedSlots,        // Lower levels may use every slot.
+  kStarveLowerLevels,       // Only level 0 may use reserved slots; batch stops under load.
+  kFixedSubset,             // The subset never grows.
 };
 
 #ifdef SHELFLINK_POLICY_MUTANTS
--- a/src/tier/policy/outcome_feedback.cpp
+++ b/src/tier/policy/outcome_feedback.cpp
@@ -8,18 +8,20 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kMinTimeoutObjectives =
-    1.0;  // Objectives: a time-out with less time tells nothing.
-constexpr Micros kRecentActivity = 2'000'000;  // A sign this recent shows that it is up.
-constexpr Micros kBackOffBase = 100'000;       // How long a full endpoint is passed over at first.
-constexpr double kMeanGain = 0.05;             // Weight of one call in what is usual.
-// Signs of overload that one call turned away counts as: with one, every eighth send would find its
-// endpoint full once the limit stands still, urgent ones among them.
+// Objectives; a timeout of an attempt that had less time is not evidence against the endpoint.
+constexpr double kMinTimeoutObjectives = 1.0;
+constexpr Micros kRecentActivity = 2'000'000;  // Shows that the endpoint is up.
+constexpr Micros kBackOffBase = 100'000;       // First back-off delay after a rejection.
+constexpr double kMeanGain = 0.05;             // Weight of one call in the means.
+// Overload signals for each rejected call. With one, the limit would settle where every eighth
+// attempt is rejected, urgent calls included.
 constexpr int kRejectionWeight = 4;
-// A batch call waited for a slot where its first event came so much later than without a wait:
-// parts of the shortest objective of the live calls that would have waited too.
+// A batch call counts as having waited for a slot if its first event was delayed by this fraction
+// of the shortest objective of the live calls, which would have waited too.
 constexpr double kBatchWaitObjectives = 0.25;
-constexpr int kSilenceWeight = 2;  // Failures that silence counts as: nothing else ends it so late.
+// Failures that an unanswered attempt counts as, because it is detected later than any other
+// failure.
+constexpr int kSilenceWeight = 2;
 
 }  // namespace
 
@@ -34,7 +36,7 @@
   ServiceStats& stats = services_.At(pending.call.service).stats;
   const Micros elapsed = now - attempt.sent;
   attempt.endpoint->NoteFirstEvent(now, attempt, pending.call);
-  // How long a batch call waited for more urgent ones tells nothing of the endpoint's pace.
+  // Batch calls wait for more urgent ones, so their latency says nothing about the endpoint.
   if (pending.call.batch) {
     NoteBatchFirstEvent(pending, attempt, elapsed);
   } else {
@@ -118,7 +120,7 @@
   }
 }
 
-// One that has just shown life may be short of connections only; it is passed over for a while.
+// An endpoint with recent activity may only be out of connections: it backs off without a failure.
 void OutcomeFeedback::NoteUnreachable(Micros now, const PendingCall& pending, Endpoint& endpoint) {
   endpoint.BackOff(now, kBackOffBase);
   if (endpoint.health().ejected() || now - endpoint.last_activity() >= kRecentActivity) {
@@ -126,7 +128,8 @@
   }
 }
 
-// With less time than a fair chance takes, a call ends late at the healthiest endpoint.
+// A timeout of an attempt that had less time than its objective says nothing about the endpoint:
+// the call would also time out at a healthy one.
 void OutcomeFeedback::NoteTimeout(Micros now, const PendingCall& pending, Attempt& attempt) {
   const Micros allowed =
       pending.call.deadline == kNever ? kNever : pending.call.deadline - attempt.sent;
@@ -140,7 +143,8 @@
   NoteOverload(pending.call);
 }
 
-// Batch calls are the first that an endpoint turns away or lets wait: live ones need not yield.
+// Batch calls are excluded: endpoints reject or delay them first, and live calls need not be
+// limited for that.
 void OutcomeFeedback::NoteOverload(const Call& call) {
   if (!call.batch) levels_.NoteOverload(call.level);
 }
@@ -159,7 +163,7 @@
   if (changed) service.subset.Invalidate();
 }
 
-// One more would be beyond the part of the subset that may be ejected at once.
+// Whether one more ejection would exceed the fraction of the subset that may be ejected at a time.
 bool OutcomeFeedback::EjectionLimitReached(Micros now, Service& service) {
   const std::vector<Endpoint*>& members = service.subset.Members(now);
   const auto ejected = std::count_if(members.begin(), members.end(),
--- a/src/tier/policy/outcome_feedback.h
+++ b/src/tier/policy/outcome_feedback.h
@@ -1,5 +1,5 @@
-// What the outcomes of attempts teach: of an endpoint's pace and health, of a service's usual
-// times, and of how much the endpoints can take. Pure.
+// Feeds the outcomes of attempts back into the estimates that later choices use: the latency and
+// health of endpoints, the statistics of services and the concurrency limits. No I/O and no clock.
 #ifndef SHELFLINK_TIER_POLICY_OUTCOME_FEEDBACK_H_
 #define SHELFLINK_TIER_POLICY_OUTCOME_FEEDBACK_H_
 
@@ -18,9 +18,9 @@
                   gaugecart::RetryBudget& retry_budget)
       : seed_(seed), services_(services), levels_(levels), retry_budget_(retry_budget) {}
 
-  // A call of the service has come.
+  // Records an arrived call in the statistics of its service.
   static void NoteArrival(ServiceStats& stats, const Call& call);
-  // The first event of an attempt, or its answer.
+  // Records the first event of an attempt, or its answer.
   void NoteFirstEvent(Micros now, const PendingCall& pending, Attempt& attempt);
   void NoteOutcome(Micros now, const PendingCall& pending, Attempt& attempt, Outcome outcome);
 
--- a/src/tier/policy/picker.cpp
+++ b/src/tier/policy/picker.cpp
@@ -11,40 +11,44 @@
 namespace shelflink::policy {
 namespace {
 
-// Members looked at for one call, from where the rotation stands: picking stays cheap in a large
-// subset, and the best of so many is as good as the best of all.
+// Members examined for one call, starting at a rotating position: this bounds the time of a choice
+// in a large subset, and the best of 16 is about as good as the best of all.
 constexpr std::size_t kMaxExamined = 16;
-constexpr double kObjectivePerTimeout = 0.1;   // Where no objective is told.
-constexpr Micros kDefaultObjective = 300'000;  // Where no timeout is either.
-// Shared parts read again cost more than their time: they push others' parts out of the memory.
+constexpr double kObjectivePerTimeout = 0.1;   // For calls without an objective.
+constexpr Micros kDefaultObjective = 300'000;  // Microseconds, without a timeout as well.
+// Weight of shared tokens that must be prefilled again: besides the time, they evict other prompts'
+// parts from the cache.
 constexpr double kRepeatedPrefillWeight = 2.0;
-// Part of the shared tokens that the owner is trusted to keep without our having sent them there:
-// calls that nobody has a reason to place elsewhere meet at one endpoint.
+// Fraction of the uncached shared tokens that the prefix owner is assumed to have cached from other
+// sidecars, so that calls with the same prefix converge on one endpoint.
 constexpr double kOwnerCacheTrust = 0.5;
-// The owner is no owner beyond this many times the members' mean load, and so many calls.
+// The prefix owner loses its preference above this factor times the members' mean load plus this
+// number of calls.
 constexpr double kOwnerLoadFactor = 1.25;
 constexpr double kOwnerLoadSlack = 2.0;
-// Parts of the objective: for an endpoint with all slots taken (it falls with the square, as steps
-// grow longer with what runs), and for each further slot's worth of calls that would wait.
+// In objectives: the cost of an endpoint with all slots taken (proportional to the square of the
+// load, because decode steps take longer with more calls), and of each further multiple of the
+// slots in waiting calls.
 constexpr double kFullCost = 0.5;
 constexpr double kWaitCost = 1.0;
-constexpr double kMemoryThreshold = 0.9;  // Memory taken beyond this part...
-constexpr double kMemoryCost = 10.0;      // ...costs so many objectives for all of it: preemption.
-constexpr double kConnectionCost = 1.0;   // Objectives, beyond the own share of its connections.
-constexpr double kOtherZoneCost = 0.02;   // Objectives, for another zone.
-constexpr double kShortPromptMismatchCost =
-    0.4;  // Objectives, for a short prompt at an endpoint for long ones...
-constexpr double kLongPromptMismatchCost =
-    0.15;                              // Objectives, for a long prompt among short ones or reverse.
-constexpr double kColdSlowdown = 3.0;  // Times as slow, just started.
-constexpr double kNonRepeatableFailureWeight =
-    12.0;  // Load that failures weigh as to calls that must not run twice...
-constexpr double kRepeatableFailureWeight = 2.0;  // ...and to those that may.
-
-// Part of an endpoint's slots that a call may take unless it may take the last ones too.
+// KV cache use above this fraction risks preemption of calls. The cost in objectives is the excess
+// fraction times kMemoryCost.
+constexpr double kMemoryThreshold = 0.9;
+constexpr double kMemoryCost = 10.0;
+constexpr double kConnectionCost = 1.0;  // Objectives, above the own share of its connections.
+constexpr double kOtherZoneCost = 0.02;  // Objectives, for an endpoint of another zone.
+// Objectives, for a short prompt in the long-prompt pool and for a long prompt outside it.
+constexpr double kShortPromptMismatchCost = 0.4;
+constexpr double kLongPromptMismatchCost = 0.15;
+constexpr double kColdSlowdown = 3.0;  // Cost factor of an endpoint that has just started.
+// Weight of an endpoint's failure rate in the cost, for calls that must not and that may run twice.
+constexpr double kNonRepeatableFailureWeight = 12.0;
+constexpr double kRepeatableFailureWeight = 2.0;
+
+// Fraction of an endpoint's slots that a call without access to reserved slots may use.
 constexpr double kUnreservedSlots = 0.95;
 
-// Calls that may be at the endpoint when this one is there too.
+// Highest number of calls at the endpoint, this one included, at which the call may be sent there.
 double MaxCallsAt(const PendingCall& pending, const Endpoint& endpoint) {
   if (pending.may_use_reserved_slots || Mutated(Mutant::kUseReservedSlots)) {
     return std::numeric_limits<double>::infinity();
@@ -87,7 +91,7 @@
 }
 
 Picker::PromptLength Picker::PromptLengthOf(const Call& call, const ServiceStats& stats) {
-  // What runs without an objective to its events harms nobody by its size, nor is harmed.
+  // Batch calls have no objective for their events, so prompt length does not matter for them.
   if (call.batch || !stats.long_prompt_pool.active()) return PromptLength::kAny;
   const auto objective = static_cast<double>(ObjectiveOf(call));
   return LongPromptPool::IsLong(UnsharedPrefillTime(call, stats), objective) ? PromptLength::kLong
@@ -119,7 +123,7 @@
     best = endpoint;
     best_cost = cost;
   };
-  // Beyond the window only while nothing sound has been found.
+  // Examine more members only while none of them was healthy.
   for (std::size_t i = 0; i < members.size(); ++i) {
     if (i >= kMaxExamined && best != nullptr && best_cost.first == Availability::kHealthy) break;
     consider(members[(cursor_ + i) % members.size()]);
--- a/src/tier/policy/picker.h
+++ b/src/tier/policy/picker.h
@@ -1,5 +1,6 @@
-// Which member of a service's subset a call goes to: the one at which it costs least, where cost is
-// the expected time to the first event, weighed up by what else the call would do there.
+// Chooses the member of a service's subset for a call: the one with the lowest cost. The cost is
+// the predicted time to the first event, plus penalties for load, memory, connections, zone and
+// prompt length, scaled by the endpoint's latency ratio, failure rate and warm-up.
 #ifndef SHELFLINK_TIER_POLICY_PICKER_H_
 #define SHELFLINK_TIER_POLICY_PICKER_H_
 
@@ -16,26 +17,27 @@
 
 namespace shelflink::policy {
 
-// The last shared part of a prompt: what its requests are kept together by. None without parts.
+// The id of the last shared part of a prompt, the key for prefix affinity. None without parts.
 std::optional<std::uint64_t> PrefixOf(const Call& call);
-// The span that costs are measured by where a route tells no objective.
+// The call's time objective, or a default derived from its timeout. Costs are measured in it.
 Micros ObjectiveOf(const Call& call);
 
-// What all endpoints of a service have in common.
+// Properties and statistics that all endpoints of a service share.
 struct ServiceStats {
-  std::uint64_t kv_tokens = 0;      // Memory of each endpoint; 0: no model engine.
-  double connection_share = 0.0;    // Of each endpoint's connections for this sidecar; 0: not told.
-  double mean_prompt_tokens = 0.0;  // Tokens of a call's prompt, and of all of it.
-  double mean_kv_tokens = 0.0;
-  Micros shortest_objective = kNever;  // Of the live calls that have come.
+  std::uint64_t kv_tokens = 0;         // KV cache of each endpoint; 0: not a model engine.
+  double connection_share = 0.0;       // This sidecar's, of each endpoint; 0: not known.
+  double mean_prompt_tokens = 0.0;     // Of a call's prompt; moving average.
+  double mean_kv_tokens = 0.0;         // Of a call's prompt and output; moving average.
+  Micros shortest_objective = kNever;  // Of the live calls so far.
   BatchStartDelay batch_start_delay;
   FirstEventModel first_event;
   LongPromptPool long_prompt_pool;
 };
 
 struct Choice {
-  Endpoint* endpoint = nullptr;  // Null: none may be sent to now.
-  // Only for the slots that are left to more urgent levels: it may be otherwise in a moment.
+  Endpoint* endpoint = nullptr;  // Null: no endpoint may be used now.
+  // No endpoint was chosen only because the free slots are reserved for more urgent levels; this
+  // may change soon.
   bool only_reserved_slots = false;
 };
 
@@ -43,30 +45,31 @@
  public:
   explicit Picker(std::string zone = {}) : zone_(std::move(zone)) {}
 
+  // `members` are the endpoints to choose from.
   Choice Pick(Micros now, const PendingCall& pending, const std::vector<Endpoint*>& members,
               const ServiceStats& stats);
 
-  // Whether another endpoint than this one would take the call now.
+  // Whether an endpoint other than `current` could take the call now.
   static bool HasAlternative(Micros now, const PendingCall& pending,
                              const std::vector<Endpoint*>& members, const Endpoint& current);
 
-  // Prompt tokens that the endpoint would have to read.
+  // Prompt tokens that the endpoint would have to prefill.
   static std::uint64_t UncachedTokens(const Call& call, const Endpoint& endpoint);
-  // Time that an endpoint takes to read what of the prompt no other call shares.
+  // Predicted microseconds to prefill the part of the prompt that no other call shares.
   static double UnsharedPrefillTime(const Call& call, const ServiceStats& stats);
 
  private:
-  // The lower, the better, before any cost counts.
+  // Best first; compared before the cost.
   enum class Availability { kHealthy, kBackingOff, kTried, kUnresponsive, kEjected };
   static Availability AvailabilityOf(Micros now, const PendingCall& pending,
                                      const Endpoint& endpoint);
-  // Of a call's prompt, where that matters for the endpoint.
+  // Prompt length for the choice of the endpoint; kAny where it does not matter.
   enum class PromptLength { kAny, kShort, kLong };
   static PromptLength PromptLengthOf(const Call& call, const ServiceStats& stats);
   const Endpoint* PrefixOwner(Micros now, const Call& call, const std::vector<Endpoint*>& members,
                               const ServiceStats& stats, PromptLength length) const;
-  // Whether it is one of the endpoints that are for long prompts where the call's is short, or the
-  // other way round.
+  // Whether a short prompt would go to an endpoint of the long-prompt pool, or a long prompt to
+  // another one.
   static bool IsMismatch(PromptLength length, const Endpoint& endpoint, const ServiceStats& stats);
   double Cost(Micros now, const Call& call, const Endpoint& endpoint, bool owner,
               const ServiceStats& stats, PromptLength length) const;
--- a/src/tier/policy/prefix_cache.cpp
+++ b/src/tier/policy/prefix_cache.cpp
@@ -18,7 +18,7 @@
 
 void PrefixCache::NoteSent(const std::vector<PromptPart>& prompt) {
   if (capacity_ == 0) return;
-  // From the end, so that the start of a prompt outlives what follows it.
+  // In reverse order, so that the first parts of a prompt are evicted last.
   for (auto part = prompt.rbegin(); part != prompt.rend(); ++part) {
     const auto known = index_.find(part->id);
     if (known != index_.end()) {
--- a/src/tier/policy/prefix_cache.h
+++ b/src/tier/policy/prefix_cache.h
@@ -1,5 +1,5 @@
-// Which prompt parts an endpoint probably keeps, judged by what this sidecar sent to it: the parts
-// unused longest give way once its memory is full, as they do at the endpoint.
+// Model of an endpoint's prefix cache, based on the prompts that this sidecar sent to it: the least
+// recently used parts are evicted when the capacity is exceeded, as the endpoint does.
 #ifndef SHELFLINK_TIER_POLICY_PREFIX_CACHE_H_
 #define SHELFLINK_TIER_POLICY_PREFIX_CACHE_H_
 
@@ -15,17 +15,19 @@
 
 class PrefixCache {
  public:
-  static constexpr std::size_t kMaxParts = 4096;  // Beyond, the part unused longest is dropped.
+  static constexpr std::size_t kMaxParts = 4096;  // Then the least recently used one is evicted.
 
-  // 0: nothing is kept.
+  // With 0 nothing is cached.
   void SetCapacity(std::uint64_t tokens);
-  // Tokens kept of the prompt from its start: a part counts only if all before it are kept too.
+  // Number of leading prompt tokens that are cached: a part counts only if all parts before it are
+  // cached too.
   std::uint64_t CachedTokens(const std::vector<PromptPart>& prompt) const;
-  // The prompt is on its way to the endpoint.
+  // Adds the parts of a prompt that is being sent to the endpoint.
   void NoteSent(const std::vector<PromptPart>& prompt);
-  // The endpoint has read it.
+  // Records that the endpoint has prefilled the prompt.
   void NotePrefilled(const std::vector<PromptPart>& prompt);
-  // The endpoint never read it: parts that no other prompt is known to have brought are dropped.
+  // Records that the endpoint never prefilled the prompt: removes its parts, except those that
+  // were prefilled with another prompt.
   void NoteNotPrefilled(const std::vector<PromptPart>& prompt);
   std::size_t size() const { return index_.size(); }
 
@@ -34,7 +36,7 @@
     PromptPart part;
     bool prefilled = false;
   };
-  using Recency = std::list<Entry>;  // Used latest first.
+  using Recency = std::list<Entry>;  // Most recently used first.
 
   void Erase(Recency::iterator entry);
   void Shrink();
--- a/src/tier/policy/priority_levels.cpp
+++ b/src/tier/policy/priority_levels.cpp
@@ -8,14 +8,17 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kBatchReserve = 0.25;  // Of the limit kept from live levels where there is batch.
-constexpr double kEvenShare = 0.25;  // Of what live levels have, dealt evenly; the rest by demand.
-constexpr double kUrgencyRatio = 4.0;  // Weight of a level's demand against the next one's.
-constexpr double kFastFirstEvent =
-    0.5;  // First events within this part of the objective: more room.
-constexpr double kInitialCallSeconds = 0.5;  // Seconds that a call is taken to last before one has.
-constexpr double kResetAt = 2.0;             // Starts, beyond which a limit begins anew.
-constexpr double kInitialLimitPerLevel = 16.0;  // For each level, before any endpoint is known.
+constexpr double kBatchReserve =
+    0.25;  // Fraction of the limit withheld from live levels for batch.
+// Fraction of the live limit split evenly; the rest is split by demand.
+constexpr double kEvenShare = 0.25;
+constexpr double kUrgencyRatio = 4.0;  // Weight of a level's demand relative to the next level's.
+// First events within this fraction of the objective raise the limit.
+constexpr double kFastFirstEvent = 0.5;
+constexpr double kInitialCallSeconds = 0.5;  // Assumed duration until a call has completed.
+// Multiple of a new initial limit, above which the limit is reset to it.
+constexpr double kResetAt = 2.0;
+constexpr double kInitialLimitPerLevel = 16.0;  // Calls, before any endpoint is known.
 constexpr double kMicrosPerSecond = 1e6;
 
 }  // namespace
@@ -101,7 +104,7 @@
   const bool slow = !calm && pool.times.typical() > kFastFirstEvent;
   const bool late = slow && pool.times.typical() > 1.0;
   const bool low = limiter_->Low();
-  // Where first events take no longer than in calm times, fewer calls do not make them faster.
+  // If first events take no longer than without load, a lower limit does not make them faster.
   if (ratio > 1.0 && !(calm && low)) {
     Overload(slow, late);
   } else if ((calm && low) || (ratio <= kFastFirstEvent && (calm || (!slow && low)))) {
@@ -136,7 +139,7 @@
   const double total = limit();
   if (Mutated(Mutant::kSharedPools)) return total;
   if (IsBatch(level)) return batch_limit_;
-  if (level >= count_) return gaugecart::kSeatFloor;  // What is left there still drains.
+  if (level >= count_) return gaugecart::kSeatFloor;  // Removed level: drains its queue.
   const std::size_t live = count_ > 1 ? count_ - 1 : 1;
   double total_demand = 0.0;
   double level_demand = 0.0;
--- a/src/tier/policy/priority_levels.h
+++ b/src/tier/policy/priority_levels.h
@@ -1,5 +1,6 @@
-// Priority levels: isolated pools that never lend, each with queues of its own before it. Pools are
-// shares of one learned limit on calls in flight. Built of the parts that gaugecart is built of.
+// Priority levels: isolated concurrency pools that do not lend capacity to each other, each with
+// its own queues. The pools of live levels are shares of one adaptive limit on calls in flight.
+// Uses the same components as gaugecart.
 #ifndef SHELFLINK_TIER_POLICY_PRIORITY_LEVELS_H_
 #define SHELFLINK_TIER_POLICY_PRIORITY_LEVELS_H_
 
@@ -21,32 +22,35 @@
  public:
   PriorityLevels();
 
-  // The last level is batch's where there are two or more. A level that is no more is kept while
-  // the module lives: calls may still be in it.
+  // Sets the number of levels. With two or more, the last one is the batch level. Levels above a
+  // reduced count stay allocated, because calls may still be in them.
   void SetCount(std::size_t count);
+  // Levels in use.
   std::size_t count() const { return count_; }
+  // Levels in use or still draining.
   std::size_t allocated_count() const { return levels_.size(); }
-  // A limit at which nothing is held. It is taken while nothing has told what is too much, and
-  // where the present limit is far above it: what one sidecar of few may start with is too much for
-  // many.
+  // Sets the limit to start with, at which no call should be queued. It applies until the first
+  // overload signal, and later if the present limit is far above it: the initial limit of one
+  // sidecar of few is too high when there are many.
   void SetInitialLimit(double limit);
 
-  // Seats that the limit never falls below: so many the endpoints surely have for this sidecar.
+  // Sets the lower bound of limit(), the calls that the endpoints can certainly run for this
+  // sidecar.
   void SetMinLimit(double limit) { min_limit_ = limit; }
 
-  // Seats of the batch level's pool: the slots of the endpoints that this sidecar runs batch calls
-  // at. The limit that live calls share does not bind it, each endpoint's batch limit does.
+  // Sets the pool size of the batch level: the slots of the endpoints that this sidecar owns for
+  // batch. It does not depend on the limit of live calls; the batch limit of each endpoint applies.
   void SetBatchLimit(double limit) { batch_limit_ = limit; }
 
-  // A call has come, which will take about as long as calls of its level do.
+  // Adds an arrived call to the demand of its level, with the typical duration of its calls.
   void NoteArrival(Micros now, std::uint32_t level);
-  // Returns the call shed to keep the queue's capacity, if any; possibly this one.
+  // Queues a call. Returns the call shed because the queue is full, if any; possibly this one.
   std::optional<CallId> Enqueue(std::uint32_t level, const gaugecart::Waiting& waiting);
   void Remove(std::uint32_t level, CallId call, std::uint64_t flow);
-  // The next call of the level while its pool has room.
+  // Dequeues the next call of the level; none if its pool is full or no call is queued.
   std::optional<gaugecart::Waiting> Next(Micros now, std::uint32_t level);
 
-  // Back to the front: it cannot be sent just now.
+  // Puts a dequeued call that cannot be sent now back to the front of its queue.
   void PutBack(std::uint32_t level, const gaugecart::Waiting& waiting);
 
   void Start(std::uint32_t level) { ++levels_[level].pool.in_flight; }
@@ -55,26 +59,27 @@
   std::size_t waiting(std::uint32_t level) const { return levels_[level].pool.queues.size(); }
   bool AnyWaiting() const;
 
-  // A first event came in time or late.
+  // Adjusts the limit to the time of a first event against the objective.
   void NoteFirstEvent(Micros now, std::uint32_t level, Micros elapsed, Micros objective);
-  // A call has been served whole, `held` after it was sent.
+  // Records a completed call, `seat_time` microseconds after it was sent.
   void NoteCompleted(Micros now, std::uint32_t level, Micros seat_time);
-  // A time-out, a reset, a stream that did not start in time, an endpoint that turned it away.
+  // Records an overload signal: a timeout, a reset, a stream that started too late, a rejection.
   void NoteOverload(std::uint32_t level);
 
   bool IsBatch(std::uint32_t level) const;
-  // How long a call of the level usually holds its seat; 0: not known.
+  // Typical time in flight of a call of the level in microseconds; 0 if not known.
   Micros TypicalSeatTime(std::uint32_t level) const;
+  // Concurrency limit of the level.
   double LimitOf(Micros now, std::uint32_t level) const;
+  // Concurrency limit of all live levels and the batch reserve.
   double limit() const { return std::max(min_limit_, limiter_->limit()); }
 
  private:
   struct Entry {
     explicit Entry(std::uint32_t index);
-    gaugecart::Level pool;  // Its answer times are first events, as parts of the objective.
-    gaugecart::AnswerTimes seat_times;  // How long a call holds its seat.
-    std::unordered_map<std::uint64_t, std::uint32_t>
-        waiting_by_flow;  // Calls of each flow, where any.
+    gaugecart::Level pool;  // Its answer times are first-event times as fractions of the objective.
+    gaugecart::AnswerTimes seat_times;                                 // Time in flight of calls.
+    std::unordered_map<std::uint64_t, std::uint32_t> waiting_by_flow;  // Queued calls.
   };
 
   void RemoveWaiting(Entry& entry, std::uint64_t flow);
@@ -88,7 +93,7 @@
   std::size_t count_ = 0;
   double min_limit_ = 0.0;
   double batch_limit_ = 0.0;
-  bool overload_seen_ = false;  // Of overload.
+  bool overload_seen_ = false;  // Since the start of the process.
 };
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/services.cpp
+++ b/src/tier/policy/services.cpp
@@ -6,8 +6,8 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr double kConnectionShareFactor =
-    2.0;  // Connections before one counts as too many, of a share.
+// Even shares of an endpoint's connections that this sidecar may use without extra cost.
+constexpr double kConnectionShareFactor = 2.0;
 
 }  // namespace
 
@@ -164,7 +164,7 @@
   service.picker = Picker(config_.zone);
 }
 
-// Of an endpoint that is gone nothing is kept once nothing is out to it.
+// Drops the state of unlisted endpoints that have no calls in flight.
 void Services::UpdateKnownEndpoints(Service& service,
                                     const std::vector<EndpointInfo>& listed) const {
   for (auto& [id, endpoint] : service.known_endpoints) endpoint.SetListed(false);
--- a/src/tier/policy/services.h
+++ b/src/tier/policy/services.h
@@ -1,5 +1,5 @@
-// The services that a sidecar sends calls to: their endpoints as far as they are known, the subset
-// of each that is in use, and what is learned of all of a service's endpoints. Pure.
+// The services that a sidecar sends calls to, each with the state of its known endpoints, the
+// subset of them in use and statistics over all its endpoints. No I/O and no clock.
 #ifndef SHELFLINK_TIER_POLICY_SERVICES_H_
 #define SHELFLINK_TIER_POLICY_SERVICES_H_
 
@@ -22,11 +22,11 @@
 struct Service {
   explicit Service(Subset::EndpointLookup lookup) : subset(std::move(lookup)) {}
 
-  std::unordered_map<std::string, Endpoint>
-      known_endpoints;  // By id; only those that were ever members.
+  // By id; only endpoints that were a subset member or a batch endpoint at some time.
+  std::unordered_map<std::string, Endpoint> known_endpoints;
   Subset subset;
-  std::vector<Endpoint*> batch_endpoints;   // Those that this sidecar sends batch calls to...
-  std::vector<Endpoint*> batch_candidates;  // ...and which of them a call may go to now.
+  std::vector<Endpoint*> batch_endpoints;   // Owned by this sidecar for batch calls.
+  std::vector<Endpoint*> batch_candidates;  // Result of BatchCandidates.
   Picker picker;
   ServiceStats stats;
   gaugecart::UsualFailure usual_failure;
@@ -38,38 +38,39 @@
 
 class Services {
  public:
-  // The time of the event under way.
+  // Sets the time of the event being processed.
   void SetNow(Micros now) { now_ = now; }
-  // Who this sidecar is, and how many share the endpoints.
+  // Sets the identity of this sidecar and the number of sidecars that share the endpoints.
   void SetConfig(const ModuleConfig& config);
-  // All of one service; an endpoint that is not among them is gone.
+  // Sets the complete state of one service; an endpoint that is not listed is removed.
   void Set(const ServiceInfo& info);
-  // Kept while calls are out to its endpoints. False: it was not known.
+  // Removes the service, or marks it removed while calls to its endpoints are in flight. Returns
+  // false if it is unknown.
   bool Remove(const std::string& name);
-  // Each endpoint's connections for this sidecar, from the present number of sidecars.
+  // Computes this sidecar's share of each endpoint's connections from the number of sidecars.
   void ShareConnections();
 
   Service* Find(const std::string& name);
   Service& At(const std::string& name) { return *services_.at(name); }
-  // A call to one of its endpoints is over.
+  // Records that an attempt at one of the service's endpoints has finished.
   void NoteFinished(const std::string& name);
   void NoteLoad(const std::string& endpoint, std::uint32_t running, std::uint32_t waiting,
                 std::uint32_t slots);
 
-  // This sidecar's even share of what belongs to all.
+  // The total divided by the number of sidecars.
   double EvenShare(double total) const;
   double TotalSlots() const;
-  // Whether any endpoint of the service is in use.
+  // Whether the service exists and has an endpoint in its subset.
   bool CanServe(const std::string& name);
-  // More batch calls that may be sent now, over all endpoints that this sidecar owns for batch.
+  // Further batch calls that may be sent now, over all endpoints that this sidecar owns for batch.
   std::uint32_t BatchRoom(Micros now) const;
   BatchState batch() const;
-  // Slots of these endpoints.
+  // Slots of the endpoints that this sidecar owns for batch.
   double BatchSlots() const;
-  // Endpoints that a batch call may go to now; `any`: also those without room.
+  // Owned endpoints that a batch call may go to now; with `ignore_room`, also those without room.
   const std::vector<Endpoint*>& BatchCandidates(Micros now, Service& service,
                                                 bool ignore_room) const;
-  // Whether any endpoint that this sidecar owns for batch takes calls at all.
+  // Whether any endpoint that this sidecar owns for batch is usable.
   bool CanRunBatch(Micros now) const;
 
  private:
--- a/src/tier/policy/subset.cpp
+++ b/src/tier/policy/subset.cpp
@@ -9,11 +9,11 @@
 namespace shelflink::policy {
 namespace {
 
-constexpr Micros kRebuildInterval = 500'000;    // Pauses of ejected endpoints end without an event.
-constexpr Micros kShrinkInterval = 60'000'000;  // So long quiet, and one leaves.
+constexpr Micros kRebuildInterval = 500'000;    // Ejections expire without an event.
+constexpr Micros kShrinkInterval = 60'000'000;  // Time with few calls per removed member.
 constexpr std::size_t kInitialSortedRanks = 32;
-constexpr std::uint64_t kOtherZoneBit = std::uint64_t{1}
-                                        << 63;  // Keys of other zones lie above it.
+// Set in the keys of endpoints of other zones, so that they sort last.
+constexpr std::uint64_t kOtherZoneBit = std::uint64_t{1} << 63;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   std::erase_if(prefix_owners_, [&](std::uint64_t hash) {
     return std::find(hashes_.begin(), hashes_.end(), hash) == hashes_.end();
   });
-  members_.clear();  // What they point at may be gone.
+  members_.clear();  // The endpoints may be removed.
   Rank();
 }
 
@@ -57,7 +57,7 @@
 std::optional<std::uint32_t> Subset::AtRank(std::size_t rank) {
   if (rank >= ranks_.size()) return std::nullopt;
   if (rank >= sorted_) {
-    // Each time twice as far: a small subset of a long list is never worth sorting all of it.
+    // Sort twice as many each time: a small subset of a long list does not need all of it sorted.
     const std::size_t target =
         std::min(ranks_.size(), std::max(kInitialSortedRanks, 2 * (rank + 1)));
     const auto at = [&](std::size_t i) { return ranks_.begin() + static_cast<std::ptrdiff_t>(i); };
--- a/src/tier/policy/subset.h
+++ b/src/tier/policy/subset.h
@@ -1,7 +1,8 @@
-// The endpoints of one service and the subset of them in use. It starts at three hashed from the
-// node's name (those of its own zone first), grows by one when the calls in flight exceed it, and
-// shrinks when it has long been quiet. Draining and misdirected endpoints hold no place in it;
-// ejected ones keep theirs and another joins in their stead.
+// The endpoints of one service and the subset of them in use. The subset starts with three
+// endpoints ranked by a hash with the node's name (those of its own zone first), grows by one when
+// the calls in flight exceed its size, and shrinks after a long time with few calls. Draining and
+// misdirected endpoints are not members; ejected ones stay members, with one more endpoint added
+// for each.
 #ifndef SHELFLINK_TIER_POLICY_SUBSET_H_
 #define SHELFLINK_TIER_POLICY_SUBSET_H_
 
@@ -17,14 +18,15 @@
 
 namespace shelflink::policy {
 
-// Stable over processes and machines.
+// Hash that is the same in all processes and on all machines.
 std::uint64_t HashOf(const std::string& text);
-// Who owns a prompt prefix: the endpoint with the highest score. All sidecars compute the same.
+// Rendezvous hashing: the endpoint with the highest score owns the prompt prefix. All sidecars
+// compute the same owner.
 std::uint64_t RendezvousScore(std::uint64_t prefix, std::uint64_t endpoint_hash);
 
 class Subset {
  public:
-  // Makes or finds what is known of an endpoint of that id and hash.
+  // Returns the state of the endpoint with that id and hash, created if necessary.
   using EndpointLookup = std::function<Endpoint&(const EndpointInfo& info, std::uint64_t hash)>;
 
   explicit Subset(EndpointLookup lookup) : lookup_(std::move(lookup)) {}
@@ -32,15 +34,16 @@
   void SetNode(const std::string& node, const std::string& zone);
   void SetEndpoints(const std::vector<EndpointInfo>& endpoints);
   const std::vector<EndpointInfo>& endpoints() const { return endpoints_; }
-  // Of those endpoints' ids, in the same order.
+  // Hashes of the endpoints' ids, in the order of endpoints().
   const std::vector<std::uint64_t>& hashes() const { return hashes_; }
 
-  // Members in the order in which they joined.
+  // The members in the order in which they were added.
   const std::vector<Endpoint*>& Members(Micros now);
-  // Health, drains or the like have changed.
+  // Makes the next Members() recompute the subset, after a change of health or usability.
   void Invalidate() { stale_ = true; }
-  // The calls of the service in flight. Where they exceed the subset it grows by one: by the owner
-  // of the prefix if there is one that is no member yet, else by the next of its order.
+  // Reports the service's calls in flight. If they exceed the size, the subset grows by one: by the
+  // owner of the prefix if there is one that is not a member yet, else by the next endpoint in
+  // rank.
   void NoteInFlight(Micros now, std::size_t in_flight, std::optional<std::uint64_t> prefix);
   std::size_t size() const { return size_.size(); }
   bool Contains(const Endpoint& endpoint) const;
@@ -57,7 +60,7 @@
   void Rank();
   void AddPrefixOwner(std::uint64_t prefix, Micros now);
   void AddMember(std::uint32_t index, Micros now);
-  // The endpoint at this place of the node's order; none beyond the last.
+  // Index of the endpoint with this rank for the node; none beyond the last.
   std::optional<std::uint32_t> AtRank(std::size_t rank);
 
   EndpointLookup lookup_;
@@ -65,9 +68,9 @@
   std::string zone_;
   std::vector<EndpointInfo> endpoints_;
   std::vector<std::uint64_t> hashes_;
-  std::vector<Ranked> ranks_;  // Sorted up to sorted_.
+  std::vector<Ranked> ranks_;  // The first sorted_ entries are sorted.
   std::size_t sorted_ = 0;
-  std::vector<std::uint64_t> prefix_owners_;  // Hashes of owners that joined out of their order.
+  std::vector<std::uint64_t> prefix_owners_;  // Hashes of owners added out of rank order.
   std::vector<Endpoint*> members_;
   std::size_t healthy_count_ = 0;  // Members that are not ejected.
   gaugecart::SubsetSize size_;
--- a/tests/tier/policy/scenarios.cpp
+++ b/tests/tier/policy/scenarios.cpp
@@ -238,7 +238,7 @@
   Expect(findings, tally.served == tally.total, "all are served", tally.served / tally.total);
   const Micros p99 = tally.FirstEvent(0.99);
   Expect(findings, p99 <= 150 * kMillisecond, "first events come in time",
-         static_cast<double>(max_arrived));
+         static_cast<double>(p99));
   return findings;
 }
 
