--- a/tests/tier/policy/batch_share_test.cpp
+++ b/tests/tier/policy/batch_share_test.cpp
@@ -1,4 +1,4 @@
-// Batch calls beside live ones: who sends them to which endpoint, and how many.
+// Batch calls next to live calls: which sidecar sends them to which endpoint, and how many.
 #define BOOST_TEST_MODULE tier_policy_batch_share
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -21,9 +21,9 @@
 std::string ZoneName(std::size_t i) { return "zone-" + std::to_string(i % 5); }
 
 std::vector<BatchOwners::Sidecar> Sidecars(std::size_t count) {
-  std::vector<BatchOwners::Sidecar> all;
-  for (std::size_t i = 0; i < count; ++i) all.push_back({NodeName(i), ZoneName(i)});
-  return all;
+  std::vector<BatchOwners::Sidecar> sidecars;
+  for (std::size_t i = 0; i < count; ++i) sidecars.push_back({NodeName(i), ZoneName(i)});
+  return sidecars;
 }
 
 std::vector<std::size_t> OwnersOf(const BatchOwners& owners, std::size_t endpoint,
@@ -49,7 +49,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_without_sidecars_is_owned_from_others) {
+BOOST_AUTO_TEST_CASE(endpoints_of_a_zone_without_sidecars_have_owners_in_other_zones) {
   std::vector<BatchOwners::Sidecar> sidecars = Sidecars(69);
   std::erase_if(sidecars, [](const auto& sidecar) { return sidecar.zone == ZoneName(0); });
   BatchOwners owners;
@@ -61,7 +61,7 @@
   BOOST_TEST(OwnersOf(owners, 0, 69).empty());
 }
 
-BOOST_AUTO_TEST_CASE(endpoints_are_spread_and_few_move_when_a_sidecar_leaves) {
+BOOST_AUTO_TEST_CASE(endpoints_are_spread_and_other_owners_stay_when_a_sidecar_leaves) {
   constexpr std::size_t kEndpoints = 2000;
   constexpr std::size_t kSidecars = 50;
   BatchOwners owners;
@@ -82,7 +82,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(the_order_of_the_list_does_not_matter) {
+BOOST_AUTO_TEST_CASE(list_order_does_not_matter) {
   std::vector<BatchOwners::Sidecar> sidecars = Sidecars(20);
   BatchOwners owners;
   BOOST_TEST(owners.SetSidecars(sidecars));
@@ -103,33 +103,33 @@
   limit.NoteRejected();
   limit.NoteLateLiveCall();
   BOOST_TEST(limit.value() == 1.0);
-  limit.SetSlots(8);  // The same list again.
+  limit.SetSlots(8);  // Unchanged: no reset.
   BOOST_TEST(limit.value() == 1.0);
   limit.SetSlots(1);
   BOOST_TEST(limit.value() == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(rises_only_where_it_binds) {
+BOOST_AUTO_TEST_CASE(rises_only_when_reached) {
   BatchLimit limit;
   limit.SetSlots(8);
   for (int i = 0; i < 100; ++i) limit.NoteImmediateStart(1);
   BOOST_TEST(limit.value() == 4.0);
   for (int i = 0; i < 100; ++i) limit.NoteImmediateStart(8);
   BOOST_TEST(limit.value() > 7.0);
-  BOOST_TEST(limit.value() < 8.0);  // A part is always left for live calls.
+  BOOST_TEST(limit.value() < 8.0);  // Some slots always remain for live calls.
 }
 
 BOOST_AUTO_TEST_CASE(settles_where_one_call_in_six_waits) {
-  // Calls wait in proportion to how many there are: at four seats one in six does.
+  // The fraction of calls that wait is proportional to the limit: at a limit of 4 one in six waits.
   BatchLimit limit;
   limit.SetSlots(16);
-  double owed = 0.0;
+  double pending_waits = 0.0;
   double sum = 0.0;
   for (int i = 0; i < 4000; ++i) {
-    owed += std::max(0.0, limit.value() / 24.0);
-    if (owed >= 1.0) {
+    pending_waits += std::max(0.0, limit.value() / 24.0);
+    if (pending_waits >= 1.0) {
       limit.NoteWait();
-      owed -= 1.0;
+      pending_waits -= 1.0;
     } else {
       limit.NoteImmediateStart(16);
     }
@@ -139,7 +139,7 @@
   BOOST_TEST(sum / 2000 < 4.5);
 }
 
-BOOST_AUTO_TEST_CASE(late_live_calls_and_refusals_lower_it) {
+BOOST_AUTO_TEST_CASE(late_live_calls_and_rejections_lower_it) {
   BatchLimit limit;
   limit.SetSlots(16);
   limit.NoteLateLiveCall();
@@ -153,14 +153,14 @@
 
 BOOST_AUTO_TEST_SUITE(start)
 
-BOOST_AUTO_TEST_CASE(a_wait_is_told_against_the_least_start) {
+BOOST_AUTO_TEST_CASE(a_wait_is_measured_from_the_minimum) {
   BatchStartDelay start;
   BOOST_TEST(start.Note(40e3, 10e3) == 0.0);
   BOOST_TEST(start.Note(140e3, 10e3) > 95e3);
-  BOOST_TEST(start.Note(40e3, 60e3) == 0.0);  // It was read faster than was thought.
+  BOOST_TEST(start.Note(40e3, 60e3) == 0.0);  // Prefill was faster than predicted.
 }
 
-BOOST_AUTO_TEST_CASE(waits_stay_waits_while_all_wait) {
+BOOST_AUTO_TEST_CASE(waits_are_still_detected_when_all_calls_wait) {
   BatchStartDelay start;
   start.Note(30e3, 0.0);
   double waited = 0.0;
@@ -168,7 +168,7 @@
   BOOST_TEST(waited > 100e3);
 }
 
-BOOST_AUTO_TEST_CASE(what_lasts_is_taken_for_usual_in_the_end) {
+BOOST_AUTO_TEST_CASE(a_lasting_delay_becomes_the_minimum_eventually) {
   BatchStartDelay start;
   start.Note(30e3, 0.0);
   double waited = 0.0;
@@ -180,7 +180,7 @@
 
 BOOST_AUTO_TEST_SUITE(room)
 
-struct Recorded : Actions {
+struct RecordingActions : Actions {
   struct Sent {
     CallId call;
     std::uint32_t attempt;
@@ -205,10 +205,10 @@
     config.sidecars = 69;
     config.levels = 2;
     module.OnConfig(0, config);
-    List({"own", "other"}, {"own"});
+    SetEndpoints({"own", "other"}, {"own"});
   }
 
-  void List(const std::vector<std::string>& ids, const std::vector<std::string>& own) {
+  void SetEndpoints(const std::vector<std::string>& ids, const std::vector<std::string>& owned) {
     ServiceInfo service;
     service.name = "model";
     for (const std::string& id : ids) {
@@ -216,13 +216,13 @@
       info.id = id;
       info.zone = "here";
       info.slots = 8;
-      info.owned_for_batch = std::find(own.begin(), own.end(), id) != own.end();
+      info.owned_for_batch = std::find(owned.begin(), owned.end(), id) != owned.end();
       service.endpoints.push_back(info);
     }
     module.OnService(0, service);
   }
 
-  void Ask(CallId id, Micros now, bool batch) {
+  void SubmitCall(CallId id, Micros now, bool batch) {
     Call call;
     call.id = id;
     call.service = "model";
@@ -237,66 +237,65 @@
     module.OnCall(now, call);
   }
 
-  Recorded actions;
+  RecordingActions actions;
   Module module;
 };
 
-BOOST_FIXTURE_TEST_CASE(batch_goes_to_own_endpoints_alone_however_many_sidecars_there_are,
-                        Sidecar) {
+BOOST_FIXTURE_TEST_CASE(batch_goes_only_to_owned_endpoints_with_any_number_of_sidecars, Sidecar) {
   Micros now = 0;
   CallId id = 1;
   while (module.Room(now, 1) > 0) {
-    Ask(id, now, true);
+    SubmitCall(id, now, true);
     module.OnFirstEvent(now + 20 * kMs, id, 0);
     now += 20 * kMs;
     ++id;
   }
-  // Half of the slots at first, and what prompt first events add to that.
+  // Half of the slots at first, raised a little by calls that start immediately.
   BOOST_TEST(actions.sent.size() >= 4U);
   BOOST_TEST(actions.sent.size() <= 6U);
   for (const auto& sent : actions.sent) BOOST_TEST(sent.endpoint == "own");
-  Ask(id, now, true);
+  SubmitCall(id, now, true);
   BOOST_TEST(actions.refused.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(who_owns_nothing_has_no_room, Sidecar) {
-  List({"own", "other"}, {});
+BOOST_FIXTURE_TEST_CASE(without_owned_endpoints_there_is_no_room, Sidecar) {
+  SetEndpoints({"own", "other"}, {});
   BOOST_TEST(module.Room(0, 1) == 0U);
-  Ask(1, 0, true);
+  SubmitCall(1, 0, true);
   BOOST_TEST(actions.refused.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_endpoint_that_is_owned_no_more_gets_nothing_more, Sidecar) {
-  Ask(1, 0, true);
-  List({"own", "other"}, {"other"});
+BOOST_FIXTURE_TEST_CASE(an_endpoint_gets_no_batch_calls_after_losing_its_owner, Sidecar) {
+  SubmitCall(1, 0, true);
+  SetEndpoints({"own", "other"}, {"other"});
   BOOST_TEST(module.Room(0, 1) >= 1U);
-  Ask(2, 0, true);
+  SubmitCall(2, 0, true);
   BOOST_REQUIRE_EQUAL(actions.sent.size(), 2U);
   BOOST_TEST(actions.sent[0].endpoint == "own");
   BOOST_TEST(actions.sent[1].endpoint == "other");
   module.OnOutcome(10 * kMs, 1, 0, Outcome::kSuccess, false);
 }
 
-BOOST_FIXTURE_TEST_CASE(prompts_are_handed_over_few_at_a_time, Sidecar) {
+BOOST_FIXTURE_TEST_CASE(batch_prefills_per_endpoint_are_limited, Sidecar) {
   BOOST_TEST(module.Room(0, 1) == 2U);
-  Ask(1, 0, true);
+  SubmitCall(1, 0, true);
   BOOST_TEST(module.Room(0, 1) == 1U);
-  Ask(2, 0, true);
+  SubmitCall(2, 0, true);
   BOOST_TEST(module.Room(0, 1) == 0U);
   module.OnFirstEvent(20 * kMs, 1, 0);
   BOOST_TEST(module.Room(20 * kMs, 1) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_the_endpoint_tells_of_others_takes_room, Sidecar) {
+BOOST_FIXTURE_TEST_CASE(reported_calls_of_other_sidecars_reduce_room, Sidecar) {
   module.OnLoad(0, "own", 8, 0, 8);
-  BOOST_TEST(module.Room(0, 1) == 1U);  // One at a time: batch is not to stand still.
-  Ask(1, 0, true);
+  BOOST_TEST(module.Room(0, 1) == 1U);  // One at a time, so that batch progresses.
+  SubmitCall(1, 0, true);
   BOOST_TEST(module.Room(0, 1) == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_batch_call_that_breaks_is_tried_at_another_own_endpoint, Sidecar) {
-  List({"own", "other"}, {"own", "other"});
-  Ask(1, 0, true);
+BOOST_FIXTURE_TEST_CASE(a_rejected_batch_call_is_retried_at_another_owned_endpoint, Sidecar) {
+  SetEndpoints({"own", "other"}, {"own", "other"});
+  SubmitCall(1, 0, true);
   const std::string first = actions.sent.at(0).endpoint;
   module.OnOutcome(5 * kMs, 1, 0, Outcome::kNotRun, true);
   BOOST_REQUIRE_EQUAL(actions.sent.size(), 2U);
--- a/tests/tier/policy/fleet_scenarios.cpp
+++ b/tests/tier/policy/fleet_scenarios.cpp
@@ -1,5 +1,4 @@
-// Batch jobs beside live calls in whole fleets, as large as those that the system is asked to
-// serve.
+// Batch jobs together with live calls in fleets as large as the system must support.
 #include <cstddef>
 #include <deque>
 #include <map>
@@ -14,18 +13,18 @@
 
 constexpr std::uint32_t kBatchLevel = 1;
 constexpr Micros kJobDeadline = 8 * kSecond;
-constexpr Micros kLoadEnd = 12 * kSecond;  // Calls and jobs come until then.
+constexpr Micros kLoadEnd = 12 * kSecond;  // Calls and jobs arrive until then.
 
 struct FleetPlan {
   std::size_t sidecars = 0;
   std::size_t endpoints = 0;
   int slots = 0;
-  double live_per_second = 0.0;  // Of each of the two kinds of calls, over the fleet.
+  double live_per_second = 0.0;  // Of the fleet; 0.3 times as many descriptions.
   double jobs_per_second = 0.0;
-  std::size_t items = 0;  // Of each job.
+  std::size_t items = 0;  // In each job.
 };
 
-// About 20 ms of reading and two events, with parts that many calls share.
+// About 20 ms of prefill and two events; other calls share its first prompt parts.
 Call ClassificationCall(Simulation& simulation) {
   Call call;
   call.prompt = {{1 + simulation.draws.Word() % 16, 341},
@@ -56,7 +55,7 @@
   return call;
 }
 
-// One store that holds all jobs, and hands items to the sidecars that tell of room.
+// One store with all jobs; it assigns items to the sidecars that report room.
 class JobStore {
  public:
   explicit JobStore(Simulation& simulation) : simulation_(simulation) {}
@@ -79,7 +78,7 @@
     simulation_.Schedule(simulation_.now() + 50 * kMillisecond, [this] { AssignItems(); });
   }
 
-  // Items that were done when due, of all that were submitted.
+  // Fraction of all submitted items that were completed before the deadline.
   double InTime() const {
     double in_time = 0.0;
     for (const auto& [call, submitted] : submitted_) {
@@ -91,8 +90,8 @@
 
  private:
   Simulation& simulation_;
-  std::deque<Micros> waiting_;          // When each was submitted.
-  std::map<CallId, Micros> submitted_;  // Of those handed out.
+  std::deque<Micros> waiting_;          // Submission times of unassigned items.
+  std::map<CallId, Micros> submitted_;  // Submission times of assigned items.
 };
 
 struct FleetResult {
@@ -132,15 +131,15 @@
   FleetResult without_jobs = RunFleet(plan, seed, false);
   FleetResult with_jobs = RunFleet(plan, seed, true);
   Findings findings;
-  Expect(findings, with_jobs.items_in_time >= 0.99, "items are done when due",
+  Expect(findings, with_jobs.items_in_time >= 0.99, "items meet the deadline",
          with_jobs.items_in_time);
   const double served_without_jobs = without_jobs.live.served / without_jobs.live.total;
   const double served_with_jobs = with_jobs.live.served / with_jobs.live.total;
   Expect(findings, served_with_jobs >= served_without_jobs - 0.01,
-         "live calls are served as without jobs", served_with_jobs - served_without_jobs);
+         "as many live calls are served as without jobs", served_with_jobs - served_without_jobs);
   const Micros added = with_jobs.live.FirstEvent(0.95) - without_jobs.live.FirstEvent(0.95);
-  Expect(findings, added <= 75 * kMillisecond, "first events of live calls come as without jobs",
-         static_cast<double>(added));
+  Expect(findings, added <= 75 * kMillisecond,
+         "first events of live calls take as long as without jobs", static_cast<double>(added));
   return findings;
 }
 
--- a/tests/tier/policy/long_prompts_test.cpp
+++ b/tests/tier/policy/long_prompts_test.cpp
@@ -1,5 +1,5 @@
-// Long prompts are kept apart where they take much of the reading, at the same endpoints
-// everywhere.
+// Long prompts are separated if they take a large share of prefill time, at the same endpoints at
+// every sidecar.
 #define BOOST_TEST_MODULE long_prompts
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -21,7 +21,7 @@
   return hashes;
 }
 
-// Calls of which one in `each` has a long prompt.
+// Records calls of which one in `interval` has a long prompt.
 void NoteCalls(LongPromptPool& pool, int calls, int interval) {
   for (int i = 0; i < calls; ++i) {
     pool.Note(interval > 0 && i % interval == 0 ? kLongPrefill : kShortPrefill, kObjective);
@@ -38,12 +38,12 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(TellsLongPromptsByTheirReading) {
+BOOST_AUTO_TEST_CASE(ClassifiesPromptsByPrefillTime) {
   BOOST_TEST(LongPromptPool::IsLong(kLongPrefill, kObjective));
   BOOST_TEST(!LongPromptPool::IsLong(kShortPrefill, kObjective));
 }
 
-BOOST_AUTO_TEST_CASE(KeepsNothingApartBeforeItHasSeenEnough) {
+BOOST_AUTO_TEST_CASE(IsInactiveBeforeEnoughCalls) {
   LongPromptPool pool;
   pool.SetEndpoints(Endpoints(9));
   NoteCalls(pool, 50, 2);
@@ -51,21 +51,21 @@
   BOOST_TEST(PoolMembers(pool, Endpoints(9)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(KeepsNothingApartWhereAllPromptsAreShort) {
+BOOST_AUTO_TEST_CASE(IsInactiveIfAllPromptsAreShort) {
   LongPromptPool pool;
   pool.SetEndpoints(Endpoints(9));
   NoteCalls(pool, 5000, 0);
   BOOST_TEST(!pool.active());
 }
 
-BOOST_AUTO_TEST_CASE(KeepsNothingApartOnFewEndpoints) {
+BOOST_AUTO_TEST_CASE(IsInactiveWithFewEndpoints) {
   LongPromptPool pool;
   pool.SetEndpoints(Endpoints(3));
   NoteCalls(pool, 5000, 5);
   BOOST_TEST(!pool.active());
 }
 
-BOOST_AUTO_TEST_CASE(HoldsAsManyEndpointsAsItsCountAndAtMostHalf) {
+BOOST_AUTO_TEST_CASE(ContainsAsManyEndpointsAsItsSizeAndAtMostHalf) {
   for (std::size_t endpoints = 4; endpoints <= 72; ++endpoints) {
     LongPromptPool pool;
     pool.SetEndpoints(Endpoints(endpoints));
@@ -76,7 +76,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AgreesWithOthersThatHaveSeenOtherCallsOfTheSameKind) {
+BOOST_AUTO_TEST_CASE(AgreesWithAnotherSidecarWithTheSameMixOfCalls) {
   LongPromptPool here;
   LongPromptPool there;
   std::vector<std::uint64_t> reversed = Endpoints(9);
@@ -89,7 +89,7 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(FollowsAChangeOfWhatIsRead) {
+BOOST_AUTO_TEST_CASE(FollowsAChangeOfTheMix) {
   LongPromptPool pool;
   pool.SetEndpoints(Endpoints(9));
   NoteCalls(pool, 5000, 3);
@@ -98,7 +98,7 @@
   BOOST_TEST(!pool.active());
 }
 
-BOOST_AUTO_TEST_CASE(LosesNoPlaceWhenEndpointsLeave) {
+BOOST_AUTO_TEST_CASE(SizeStaysValidWhenEndpointsLeave) {
   LongPromptPool pool;
   pool.SetEndpoints(Endpoints(9));
   NoteCalls(pool, 5000, 3);
--- a/tests/tier/policy/policy_module_test.cpp
+++ b/tests/tier/policy/policy_module_test.cpp
@@ -1,4 +1,4 @@
-// The decision module of the serving tier, event by event.
+// Event-by-event tests of the decision module of the serving tier.
 #define BOOST_TEST_MODULE tier_policy_module
 #include <boost/test/unit_test.hpp>
 #include <set>
@@ -25,14 +25,14 @@
   }
   void Refuse(CallId call, Micros retry_after) override {
     refused.push_back(call);
-    advice.insert(retry_after);
+    retry_after_times.insert(retry_after);
   }
   void Fail(CallId call) override { failed.push_back(call); }
   void SetTimer(Micros at) override { timer = at; }
 
   std::vector<Sent> sent;
   std::vector<CallId> refused;
-  std::set<Micros> advice;
+  std::set<Micros> retry_after_times;
   std::vector<CallId> failed;
   Micros timer = kNever;
 };
@@ -65,14 +65,14 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_CASE(runs_at_once_at_the_less_loaded_endpoint, Fixture) {
+BOOST_FIXTURE_TEST_CASE(is_sent_immediately_to_the_less_loaded_endpoint, Fixture) {
   module.OnCall(0, NewCall(1));
   module.OnCall(0, NewCall(2));
   BOOST_REQUIRE_EQUAL(actions.sent.size(), 2U);
   BOOST_TEST(actions.sent[0].endpoint != actions.sent[1].endpoint);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_has_not_run_is_tried_elsewhere_up_to_max_attempts, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_call_that_did_not_run_is_retried_elsewhere_up_to_max_attempts, Fixture) {
   module.OnCall(0, NewCall(1));
   module.OnOutcome(1, 1, 0, Outcome::kNotRun, true);
   BOOST_REQUIRE_EQUAL(actions.sent.size(), 2U);
@@ -82,7 +82,7 @@
   BOOST_TEST(actions.refused.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_may_have_run_is_not_sent_again_and_fails, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_call_that_may_have_run_is_not_sent_again_and_fails, Fixture) {
   module.OnCall(0, NewCall(1));
   module.OnOutcome(1, 1, 0, Outcome::kReset, true);
   BOOST_TEST(actions.sent.size() == 1U);
@@ -90,7 +90,7 @@
   BOOST_TEST(actions.refused.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_draining_endpoint_gets_no_call, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_draining_endpoint_gets_no_calls, Fixture) {
   ServiceInfo service;
   service.name = "model";
   service.endpoints = {{"a", "z", 8, true, 0}, {"b", "z", 8, false, 0}};
@@ -100,7 +100,7 @@
   for (const Sent& sent : actions.sent) BOOST_TEST(sent.endpoint == "b");
 }
 
-BOOST_FIXTURE_TEST_CASE(an_instance_that_lost_its_address_gets_nothing, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_misdirected_endpoint_gets_no_calls, Fixture) {
   module.OnCall(0, NewCall(1));
   const std::string moved = actions.sent[0].endpoint;
   module.OnOutcome(1, 1, 0, Outcome::kMisdirected, true);
@@ -110,7 +110,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(what_never_left_is_no_send_and_needs_no_repeatable_call, Fixture) {
+BOOST_FIXTURE_TEST_CASE(an_unsent_attempt_does_not_count_and_is_retried_for_any_call, Fixture) {
   Call call = NewCall(1);
   call.max_attempts = 1;
   module.OnCall(0, call);
@@ -122,7 +122,7 @@
   BOOST_TEST(actions.refused.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_cut_stream_goes_on_at_another_endpoint_if_it_may, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_truncated_stream_continues_at_another_endpoint_if_repeatable, Fixture) {
   Call call = NewCall(1);
   call.repeatable = true;
   module.OnCall(0, call);
@@ -134,7 +134,7 @@
   BOOST_TEST(actions.failed.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(no_retry_with_next_to_no_time_left, Fixture) {
+BOOST_FIXTURE_TEST_CASE(no_retry_shortly_before_the_deadline, Fixture) {
   Call call = NewCall(1);
   call.objective = 300 * kMs;
   module.OnCall(0, call);
@@ -143,16 +143,16 @@
   BOOST_TEST(actions.refused.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(refused_calls_are_told_to_come_back_at_different_times, Fixture) {
+BOOST_FIXTURE_TEST_CASE(refused_calls_get_different_retry_after_times, Fixture) {
   module.OnServiceRemoved(0, "model");
   for (CallId id = 1; id <= 50; ++id) module.OnCall(1, NewCall(id));
   BOOST_REQUIRE_EQUAL(actions.refused.size(), 50U);
-  BOOST_TEST(actions.advice.size() > 40U);
-  BOOST_TEST(*actions.advice.begin() >= 100 * kMs);
-  BOOST_TEST(*actions.advice.rbegin() <= 1250 * kMs);
+  BOOST_TEST(actions.retry_after_times.size() > 40U);
+  BOOST_TEST(*actions.retry_after_times.begin() >= 100 * kMs);
+  BOOST_TEST(*actions.retry_after_times.rbegin() <= 1250 * kMs);
 }
 
-BOOST_FIXTURE_TEST_CASE(no_more_calls_are_held_than_may_be, Fixture) {
+BOOST_FIXTURE_TEST_CASE(pending_calls_are_limited, Fixture) {
   ModuleConfig config;
   config.node = "edge-1";
   config.levels = 2;
@@ -163,7 +163,7 @@
   BOOST_TEST(actions.refused.size() == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_service_may_go_while_its_calls_are_out, Fixture) {
+BOOST_FIXTURE_TEST_CASE(a_service_may_be_removed_while_its_calls_are_in_flight, Fixture) {
   module.OnCall(0, NewCall(1));
   module.OnCall(0, NewCall(2));
   module.OnServiceRemoved(1, "model");
@@ -175,7 +175,7 @@
   BOOST_TEST(actions.refused.size() == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_endpoint_may_leave_the_list_while_its_call_is_out, Fixture) {
+BOOST_FIXTURE_TEST_CASE(an_endpoint_may_leave_the_list_while_its_call_is_in_flight, Fixture) {
   module.OnCall(0, NewCall(1));
   ServiceInfo service;
   service.name = "model";
@@ -188,7 +188,7 @@
   BOOST_TEST(actions.sent[1].endpoint == "c");
 }
 
-BOOST_FIXTURE_TEST_CASE(batch_has_room_while_slots_are_free_and_is_refused_at_once_without,
+BOOST_FIXTURE_TEST_CASE(batch_has_room_while_slots_are_free_and_is_refused_immediately_otherwise,
                         Fixture) {
   const std::uint32_t room = module.Room(0, 1);
   BOOST_TEST(room >= 1U);
@@ -208,7 +208,7 @@
   BOOST_TEST(actions.refused.size() + actions.sent.size() - sent == 30U);
 }
 
-BOOST_FIXTURE_TEST_CASE(late_or_refused_batch_calls_take_no_seats_from_live_ones, Fixture) {
+BOOST_FIXTURE_TEST_CASE(late_or_rejected_batch_calls_do_not_lower_the_live_limit, Fixture) {
   Micros now = 0;
   for (CallId id = 1; id <= 200; ++id) {
     Call call = NewCall(id);
@@ -227,7 +227,7 @@
     }
   }
   BOOST_REQUIRE_EQUAL(actions.sent.size(), 200U);
-  // As many live calls at once as before anything was learned: three quarters of the first limit.
+  // The live levels still have three quarters of the initial limit.
   for (CallId id = 1001; id <= 1024; ++id) {
     Call call = NewCall(id);
     call.deadline = now + 5000 * kMs;
@@ -236,16 +236,17 @@
   BOOST_TEST(actions.sent.size() == 224U);
 }
 
-BOOST_FIXTURE_TEST_CASE(callers_who_leave_a_silent_endpoint_tell_of_it, Fixture) {
+BOOST_FIXTURE_TEST_CASE(abandoned_calls_count_against_an_unresponsive_endpoint, Fixture) {
   module.OnCall(0, NewCall(1));
-  const std::string dark = actions.sent[0].endpoint;
+  const std::string unresponsive = actions.sent[0].endpoint;
   Micros now = 0;
   CallId id = 1;
-  // Whenever the dark one is picked its caller leaves after two seconds; the other answers at once.
-  std::size_t to_dark = 1;
+  // Callers at the unresponsive endpoint leave after two seconds; the other endpoint answers after
+  // 20 ms.
+  std::size_t sent_to_unresponsive = 1;
   for (int i = 0; i < 40; ++i) {
     const std::size_t last = actions.sent.size() - 1;
-    if (actions.sent[last].endpoint == dark) {
+    if (actions.sent[last].endpoint == unresponsive) {
       now += 2000 * kMs;
       module.OnAbandoned(now, id);
     } else {
@@ -256,12 +257,12 @@
     Call call = NewCall(++id);
     call.deadline = now + 5000 * kMs;
     module.OnCall(now, call);
-    if (actions.sent.back().endpoint == dark) ++to_dark;
+    if (actions.sent.back().endpoint == unresponsive) ++sent_to_unresponsive;
   }
-  BOOST_TEST(to_dark <= 12U);
+  BOOST_TEST(sent_to_unresponsive <= 12U);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_is_repeated_or_unknown_changes_nothing, Fixture) {
+BOOST_FIXTURE_TEST_CASE(duplicate_and_unknown_events_are_ignored, Fixture) {
   module.OnCall(0, NewCall(1));
   module.OnCall(0, NewCall(1));
   BOOST_TEST(actions.sent.size() == 1U);
--- a/tests/tier/policy/policy_mutants_test.cpp
+++ b/tests/tier/policy/policy_mutants_test.cpp
@@ -1,5 +1,5 @@
-// A test that never fails proves nothing: for each fault compiled into the decision module a
-// scenario finds it out.
+// Mutation test: for each fault compiled into the decision module, a scenario must fail for at
+// least one of 60 seeds.
 #define BOOST_TEST_MODULE tier_policy_mutants
 #include <algorithm>
 #include <boost/test/data/monomorphic.hpp>
@@ -44,18 +44,19 @@
     {"fixed subset", Mutant::kFixedSubset, SubsetGrowth},
 };
 
-struct Active {
-  explicit Active(Mutant mutant) { active_mutant = mutant; }
-  ~Active() { active_mutant = Mutant::kNone; }
-  Active(const Active&) = delete;
-  Active& operator=(const Active&) = delete;
+// Activates a mutant for its lifetime.
+struct ActiveMutant {
+  explicit ActiveMutant(Mutant mutant) { active_mutant = mutant; }
+  ~ActiveMutant() { active_mutant = Mutant::kNone; }
+  ActiveMutant(const ActiveMutant&) = delete;
+  ActiveMutant& operator=(const ActiveMutant&) = delete;
 };
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(is_found_within_sixty_seeds, boost::unit_test::data::make(kCases), tested) {
+BOOST_DATA_TEST_CASE(is_detected_within_sixty_seeds, boost::unit_test::data::make(kCases), tested) {
   constexpr std::uint64_t kSeeds = 60;
-  const Active active(tested.mutant);
+  const ActiveMutant active(tested.mutant);
   std::uint64_t seed = 1;
   while (seed <= kSeeds && tested.scenario(seed).empty()) ++seed;
   BOOST_TEST(seed <= kSeeds);
--- a/tests/tier/policy/policy_parts_test.cpp
+++ b/tests/tier/policy/policy_parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the decision module, each alone.
+// Unit tests of the components of the decision module.
 #define BOOST_TEST_MODULE tier_policy_parts
 #include <boost/test/unit_test.hpp>
 #include <cmath>
@@ -38,7 +38,7 @@
 
 BOOST_AUTO_TEST_SUITE(prefix_cache)
 
-BOOST_AUTO_TEST_CASE(a_part_counts_only_if_all_before_it_are_kept) {
+BOOST_AUTO_TEST_CASE(a_part_counts_only_if_all_parts_before_it_are_cached) {
   PrefixCache cache;
   cache.SetCapacity(1000);
   cache.NoteSent(Prompt({1, 2, 3}));
@@ -47,7 +47,7 @@
   BOOST_TEST(cache.CachedTokens(Prompt({9, 2, 3})) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(the_part_unused_longest_gives_way_and_the_end_of_a_prompt_first) {
+BOOST_AUTO_TEST_CASE(the_least_recently_used_part_is_evicted_and_the_end_of_a_prompt_first) {
   PrefixCache cache;
   cache.SetCapacity(400);
   cache.NoteSent(Prompt({1, 2}));
@@ -59,7 +59,7 @@
   BOOST_TEST(cache.CachedTokens(Prompt({5, 6})) == 200U);
 }
 
-BOOST_AUTO_TEST_CASE(what_was_never_read_is_dropped_unless_another_prompt_brought_it) {
+BOOST_AUTO_TEST_CASE(a_part_never_prefilled_is_removed_unless_another_prompt_had_it) {
   PrefixCache cache;
   cache.SetCapacity(1000);
   cache.NoteSent(Prompt({1, 2}));
@@ -70,7 +70,7 @@
   BOOST_TEST(cache.CachedTokens(Prompt({1, 3})) == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(keeps_nothing_without_memory_and_bounds_its_entries) {
+BOOST_AUTO_TEST_CASE(is_empty_without_capacity_and_bounds_its_entries) {
   PrefixCache none;
   none.NoteSent(Prompt({1}));
   BOOST_TEST(none.CachedTokens(Prompt({1})) == 0U);
@@ -84,7 +84,7 @@
 
 BOOST_AUTO_TEST_SUITE(first_event_model)
 
-BOOST_AUTO_TEST_CASE(learns_base_and_time_of_a_token) {
+BOOST_AUTO_TEST_CASE(fits_base_and_time_per_token) {
   FirstEventModel model;
   gaugecart::Draws draws(7);
   for (int i = 0; i < 300; ++i) {
@@ -95,7 +95,7 @@
   BOOST_TEST(std::abs(model.Base() - 8'000.0) < 2'500.0);
 }
 
-BOOST_AUTO_TEST_CASE(reading_is_never_free_nor_all_that_there_is) {
+BOOST_AUTO_TEST_CASE(time_per_token_and_base_stay_in_bounds) {
   FirstEventModel model;
   for (int i = 0; i < 100; ++i) model.Note(1000.0, 20'000.0 + i % 3);
   BOOST_TEST(model.PerToken() > 0.0);
@@ -104,7 +104,7 @@
   BOOST_TEST(model.Base() >= 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(follows_a_change) {
+BOOST_AUTO_TEST_CASE(follows_a_change_of_speed) {
   FirstEventModel model;
   for (int i = 0; i < 200; ++i) model.Note(100.0 * (i % 20), 1'000.0 + 200.0 * (i % 20));
   for (int i = 0; i < 300; ++i) model.Note(100.0 * (i % 20), 1'000.0 + 600.0 * (i % 20));
@@ -131,12 +131,11 @@
   Call call;
 };
 
-BOOST_FIXTURE_TEST_CASE(is_silent_once_a_first_event_is_overdue_and_nothing_else_came,
-                        OneEndpoint) {
+BOOST_FIXTURE_TEST_CASE(is_unresponsive_with_an_overdue_first_event_and_no_activity, OneEndpoint) {
   Attempt first = Sent(0);
   BOOST_TEST(!known.Unresponsive(99 * kMs));
   BOOST_TEST(known.Unresponsive(100 * kMs));
-  known.NoteActivity(110 * kMs);  // Another call's event.
+  known.NoteActivity(110 * kMs);  // An event of another call.
   BOOST_TEST(!known.Unresponsive(150 * kMs));
   BOOST_TEST(known.Unresponsive(210 * kMs));
   known.NoteFirstEvent(220 * kMs, first, call);
@@ -146,7 +145,7 @@
   BOOST_TEST(known.queued_prefill_tokens() == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_it_tells_of_others_fades, OneEndpoint) {
+BOOST_FIXTURE_TEST_CASE(reported_calls_of_other_sidecars_decay, OneEndpoint) {
   Sent(0);
   known.NoteLoad(0, 8, 2, 16);
   BOOST_TEST(known.slots() == 16);
@@ -155,19 +154,19 @@
   BOOST_TEST(known.OtherCalls(10 * kSecond) < 0.1);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_stream_near_its_end_weighs_less, OneEndpoint) {
+BOOST_FIXTURE_TEST_CASE(a_stream_near_its_end_has_less_weight, OneEndpoint) {
   call.output_tokens = 20;
   Attempt attempt = Sent(0);
   BOOST_TEST(known.WeightedCalls(0) == 1.0);
   known.NoteFirstEvent(0, attempt, call);
   known.NoteProgress(0, attempt, 20);
   BOOST_TEST(known.WeightedCalls(0) == 0.5);
-  known.NoteProgress(0, attempt, 20);  // More than was announced.
+  known.NoteProgress(0, attempt, 20);  // More than expected.
   known.RemoveAttempt(attempt, call);
   BOOST_TEST(known.WeightedCalls(0) == 0.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(rests_longer_each_time_it_turns_a_call_away, OneEndpoint) {
+BOOST_FIXTURE_TEST_CASE(backs_off_longer_after_each_rejection, OneEndpoint) {
   known.BackOff(0, 100 * kMs);
   BOOST_TEST(known.BackingOff(99 * kMs));
   BOOST_TEST(!known.BackingOff(100 * kMs));
@@ -177,11 +176,11 @@
   BOOST_TEST(!known.BackingOff(2 * kSecond + 800 * kMs));
 }
 
-BOOST_FIXTURE_TEST_CASE(is_not_usable_while_draining_misdirected_or_gone, OneEndpoint) {
+BOOST_FIXTURE_TEST_CASE(is_not_usable_while_draining_misdirected_or_unlisted, OneEndpoint) {
   BOOST_TEST(known.Usable(0));
   known.NoteMisdirected(0);
   BOOST_TEST(!known.Usable(kSecond));
-  known.Update(kSecond, Info("a"), 0);  // A list that is behind.
+  known.Update(kSecond, Info("a"), 0);  // From an outdated list.
   BOOST_TEST(!known.Usable(9 * kSecond));
   BOOST_TEST(known.Usable(10 * kSecond));
   EndpointInfo draining = Info("a");
@@ -193,7 +192,7 @@
   BOOST_TEST(!known.Usable(11 * kSecond));
 }
 
-BOOST_FIXTURE_TEST_CASE(cold_eases_in, OneEndpoint) {
+BOOST_FIXTURE_TEST_CASE(coldness_falls_during_warm_up, OneEndpoint) {
   Endpoint young{2};
   EndpointInfo info = Info("b");
   info.cold_until = 5 * kSecond;
@@ -213,7 +212,7 @@
     return health.Note(
         failed, usual, [&] { return most_ejected; }, 1, now);
   }
-  // Until it is ejected.
+  // Records failures until the endpoint is ejected.
   void Fail(Micros now) {
     for (int i = 0; i < 20 && !health.ejected(); ++i) Note(true, now);
   }
@@ -221,7 +220,7 @@
   gaugecart::Health health;
 };
 
-BOOST_FIXTURE_TEST_CASE(is_ejected_for_a_growing_pause_and_let_back_by_one_good_answer, OneHealth) {
+BOOST_FIXTURE_TEST_CASE(is_ejected_for_a_growing_time_and_restored_by_one_success, OneHealth) {
   Fail(0);
   BOOST_TEST(health.ejected());
   const Micros first = health.Left(0);
@@ -238,7 +237,7 @@
   BOOST_TEST(!health.Avoided(second));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_trial_that_tells_nothing_leaves_room_for_another, OneHealth) {
+BOOST_FIXTURE_TEST_CASE(an_inconclusive_trial_allows_another, OneHealth) {
   Fail(0);
   const Micros later = health.Left(0);
   health.StartTrial();
@@ -246,7 +245,7 @@
   BOOST_TEST(!health.Avoided(later));
 }
 
-BOOST_FIXTURE_TEST_CASE(nothing_is_ejected_for_what_ails_all_or_beyond_the_bound, OneHealth) {
+BOOST_FIXTURE_TEST_CASE(is_not_ejected_when_all_fail_or_the_ejection_limit_is_reached, OneHealth) {
   for (int i = 0; i < 20; ++i) Note(true, 0, true);
   BOOST_TEST(!health.ejected());
   OneHealth other;
@@ -266,7 +265,7 @@
           if (fresh) it->second.Update(0, info, 0);
           return it->second;
         }) {}
-  void List(int here, int there) {
+  void SetEndpoints(int here, int there) {
     std::vector<EndpointInfo> infos;
     for (int i = 0; i < here; ++i) infos.push_back(Info("here-" + std::to_string(i)));
     for (int i = 0; i < there; ++i) infos.push_back(Info("there-" + std::to_string(i), "there"));
@@ -281,21 +280,21 @@
   Subset subset;
 };
 
-BOOST_FIXTURE_TEST_CASE(starts_at_three_of_its_zone_by_the_nodes_name, Fleet) {
+BOOST_FIXTURE_TEST_CASE(starts_with_three_of_its_zone_by_node_name, Fleet) {
   subset.SetNode("edge-1", "here");
-  List(20, 20);
+  SetEndpoints(20, 20);
   const std::set<std::string> first = Ids(0);
   BOOST_TEST(first.size() == 3U);
   for (const std::string& id : first) BOOST_TEST(id.starts_with("here"));
   BOOST_TEST((Ids(kSecond) == first));
   subset.SetNode("edge-2", "here");
   BOOST_TEST((Ids(kSecond) != first));
-  BOOST_TEST(known.size() <= 6U);  // Of forty it touches few.
+  BOOST_TEST(known.size() <= 6U);  // Out of 40 in the list.
 }
 
 BOOST_FIXTURE_TEST_CASE(grows_by_one_when_calls_in_flight_exceed_it, Fleet) {
   subset.SetNode("edge-1", "here");
-  List(4, 4);
+  SetEndpoints(4, 4);
   subset.NoteInFlight(0, 3, std::nullopt);
   BOOST_TEST(Ids(0).size() == 3U);
   subset.NoteInFlight(0, 4, std::nullopt);
@@ -307,7 +306,7 @@
 BOOST_FIXTURE_TEST_CASE(grows_by_the_owner_of_the_prefix, Fleet) {
   constexpr std::uint64_t kPrefix = 77;
   subset.SetNode("edge-1", "here");
-  List(0, 50);
+  SetEndpoints(0, 50);
   std::string owner;
   std::uint64_t best = 0;
   for (const EndpointInfo& info : subset.endpoints()) {
@@ -318,15 +317,15 @@
   }
   BOOST_TEST(!Ids(0).contains(owner));
   subset.NoteInFlight(0, 2, kPrefix);
-  BOOST_TEST(!Ids(0).contains(owner));  // Never by prefix alone.
+  BOOST_TEST(!Ids(0).contains(owner));  // A prefix alone adds no member.
   subset.NoteInFlight(0, 4, kPrefix);
   BOOST_TEST(Ids(0).contains(owner));
   BOOST_TEST(Ids(0).size() == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(shrinks_when_it_has_long_been_quiet_but_not_below_three, Fleet) {
+BOOST_FIXTURE_TEST_CASE(shrinks_after_long_low_load_but_not_below_three, Fleet) {
   subset.SetNode("edge-1", "here");
-  List(10, 0);
+  SetEndpoints(10, 0);
   for (std::size_t calls = 1; calls <= 6; ++calls) subset.NoteInFlight(0, calls, std::nullopt);
   BOOST_TEST(subset.size() == 6U);
   subset.NoteInFlight(30 * kSecond, 1, std::nullopt);
@@ -337,9 +336,9 @@
   BOOST_TEST(subset.size() == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(another_joins_in_the_stead_of_one_that_drains_or_is_ejected, Fleet) {
+BOOST_FIXTURE_TEST_CASE(a_draining_or_ejected_member_is_replaced, Fleet) {
   subset.SetNode("edge-1", "here");
-  List(10, 0);
+  SetEndpoints(10, 0);
   const std::set<std::string> before = Ids(0);
   Endpoint& sick = known.at(*before.begin());
   gaugecart::UsualFailure usual;
@@ -359,13 +358,13 @@
   BOOST_TEST(!Ids(0).contains(sick.info().id));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_new_list_keeps_the_order, Fleet) {
+BOOST_FIXTURE_TEST_CASE(a_new_list_keeps_the_ranks, Fleet) {
   subset.SetNode("edge-1", "here");
-  List(300, 0);
+  SetEndpoints(300, 0);
   for (std::size_t calls = 1; calls <= 100; ++calls) subset.NoteInFlight(0, calls, std::nullopt);
   const std::set<std::string> before = Ids(0);
   BOOST_TEST(before.size() == 100U);
-  List(299, 0);
+  SetEndpoints(299, 0);
   std::size_t cached = 0;
   for (const std::string& id : Ids(0)) kept += before.contains(id) ? 1 : 0;
   BOOST_TEST(kept >= 99U);
@@ -375,7 +374,7 @@
 
 BOOST_AUTO_TEST_SUITE(levels)
 
-BOOST_AUTO_TEST_CASE(batch_has_a_pool_of_its_own_and_pools_add_up) {
+BOOST_AUTO_TEST_CASE(batch_has_its_own_pool_and_live_pools_sum_to_the_limit) {
   PriorityLevels levels;
   levels.SetCount(3);
   levels.SetInitialLimit(100.0);
@@ -385,14 +384,14 @@
   BOOST_TEST(levels.LimitOf(0, 2) == 25.0);
   BOOST_TEST(all <= 100.0 + 2.0);
   const double live = levels.LimitOf(0, 0);
-  levels.SetBatchLimit(60.0);  // More slots for batch take nothing from live levels.
+  levels.SetBatchLimit(60.0);  // Does not change the live levels.
   BOOST_TEST(levels.LimitOf(0, 2) == 60.0);
   BOOST_TEST(levels.LimitOf(0, 0) == live);
   BOOST_TEST(levels.LimitOf(0, 0) > levels.LimitOf(0, 1));
   BOOST_TEST(levels.LimitOf(0, 1) >= 2.0);
 }
 
-BOOST_AUTO_TEST_CASE(releases_one_call_of_each_flow_in_turn_while_there_is_room) {
+BOOST_AUTO_TEST_CASE(dequeues_flows_in_turn_while_the_pool_has_room) {
   PriorityLevels levels;
   levels.SetCount(1);
   for (CallId id = 1; id <= 10; ++id) BOOST_TEST(!levels.Enqueue(0, {id, 5, 0}));
@@ -408,7 +407,7 @@
   BOOST_TEST(!levels.AnyWaiting());
 }
 
-BOOST_AUTO_TEST_CASE(holds_when_the_pool_is_taken_and_sheds_the_flow_that_waits_most) {
+BOOST_AUTO_TEST_CASE(queues_when_the_pool_is_full_and_sheds_the_flow_with_most_waiting) {
   PriorityLevels levels;
   levels.SetCount(1);
   std::size_t started = 0;
@@ -418,18 +417,18 @@
   }
   std::size_t shed = 0;
   for (CallId id = 1; id <= 100; ++id) {
-    const auto out = levels.Enqueue(0, {id, 5, 0});
-    if (!out) continue;
+    const auto shed_call = levels.Enqueue(0, {id, 5, 0});
+    if (!shed_call) continue;
     ++shed;
-    levels.Remove(0, *out, 5);
+    levels.Remove(0, *shed_call, 5);
   }
-  BOOST_TEST(shed == 68U);  // Two queues of sixteen are its hand.
+  BOOST_TEST(shed == 68U);  // A flow has two queues of 16 calls.
   BOOST_TEST(!levels.Next(0, 0));
   levels.Finish(0);
   BOOST_TEST(levels.Next(0, 0).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_limit_falls_on_late_first_events_and_turned_away_calls_and_rises_again) {
+BOOST_AUTO_TEST_CASE(the_limit_falls_on_late_first_events_and_rejections_and_recovers) {
   PriorityLevels levels;
   levels.SetCount(1);
   levels.SetInitialLimit(50.0);
@@ -446,7 +445,7 @@
   BOOST_TEST(levels.limit() > low);
 }
 
-BOOST_AUTO_TEST_CASE(the_last_level_is_batchs_also_when_levels_become_fewer) {
+BOOST_AUTO_TEST_CASE(the_last_level_is_batch_also_after_the_count_is_reduced) {
   PriorityLevels levels;
   levels.SetCount(4);
   levels.SetInitialLimit(100.0);
@@ -456,14 +455,14 @@
   BOOST_TEST(levels.IsBatch(1));
   BOOST_TEST(levels.LimitOf(0, 1) == 25.0);
   BOOST_TEST(levels.LimitOf(0, 0) == 75.0);
-  BOOST_TEST(levels.Next(0, 3).has_value());  // What was in one that is no more drains.
+  BOOST_TEST(levels.Next(0, 3).has_value());  // A removed level drains.
 }
 
-BOOST_AUTO_TEST_CASE(the_first_limit_follows_what_is_told_of_the_fleet) {
+BOOST_AUTO_TEST_CASE(the_initial_limit_follows_the_fleet_size) {
   PriorityLevels levels;
   levels.SetCount(2);
   levels.SetInitialLimit(1000.0);
-  levels.SetInitialLimit(100.0);  // There are ten times as many sidecars now.
+  levels.SetInitialLimit(100.0);  // With ten times as many sidecars.
   BOOST_TEST(levels.limit() == 100.0);
   levels.NoteOverload(0);
   const double learned = levels.limit();
@@ -473,7 +472,7 @@
   BOOST_TEST(levels.limit() == 40.0);
 }
 
-BOOST_AUTO_TEST_CASE(the_limit_never_falls_below_what_the_endpoints_surely_have) {
+BOOST_AUTO_TEST_CASE(the_limit_never_falls_below_the_minimum) {
   PriorityLevels levels;
   levels.SetCount(2);
   levels.SetMinLimit(30.0);
@@ -502,7 +501,7 @@
     pending.call.output_tokens = 10;
   }
   Endpoint* Pick(Micros now = 0) { return picker.Pick(now, pending, members, stats).endpoint; }
-  // So many calls, sent at the time.
+  // Adds calls in flight, sent at `now`.
   void Load(std::size_t index, int calls, Micros now = 0) {
     for (int i = 0; i < calls; ++i) {
       Attempt attempt;
@@ -519,14 +518,14 @@
   Picker picker{"here"};
 };
 
-BOOST_FIXTURE_TEST_CASE(without_prompts_it_rotates, Members) {
+BOOST_FIXTURE_TEST_CASE(rotates_without_prompt_parts, Members) {
   pending.call.prompt.clear();
   std::set<Endpoint*> picked;
   for (int i = 0; i < 4; ++i) picked.insert(Pick());
   BOOST_TEST(picked.size() == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(prefers_where_the_shared_parts_are_kept_until_load_outweighs_it, Members) {
+BOOST_FIXTURE_TEST_CASE(prefers_the_endpoint_with_cached_parts_until_it_is_overloaded, Members) {
   pending.call.prompt = {{1, 20'000}, {2, 100}};
   pending.call.prompt_tokens = 20'100;
   known[2]->prefixes().NoteSent({{1, 20'000}});
@@ -535,15 +534,14 @@
   BOOST_TEST(Pick() != members[2]);
 }
 
-BOOST_FIXTURE_TEST_CASE(nodes_agree_on_the_owner_of_a_prefix_without_talk, Members) {
+BOOST_FIXTURE_TEST_CASE(nodes_agree_on_the_owner_of_a_prefix, Members) {
   Members elsewhere;
   std::set<Endpoint*> owners;
   for (std::uint64_t prefix = 0; prefix < 60; ++prefix) {
     pending.call.prompt = {{prefix, 3000}, {9999, 100}};
     pending.call.prompt_tokens = 3100;
     elsewhere.pending = pending;
-    for (std::uint64_t i = 0; i < prefix % 4; ++i)
-      elsewhere.Pick();  // Its rotation stands elsewhere.
+    for (std::uint64_t i = 0; i < prefix % 4; ++i) elsewhere.Pick();  // Advances its rotation.
     const Endpoint* here = Pick();
     BOOST_TEST(here->hash() == elsewhere.Pick()->hash());
     owners.insert(Pick());
@@ -551,7 +549,7 @@
   BOOST_TEST(owners.size() == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_far_above_the_mean_load_is_no_owner, Members) {
+BOOST_FIXTURE_TEST_CASE(an_owner_far_above_the_mean_load_is_not_preferred, Members) {
   const Endpoint* owner = Pick();
   for (std::size_t i = 0; i < 4; ++i) {
     if (members[i] == owner) Load(i, 6);
@@ -559,7 +557,7 @@
   BOOST_TEST(Pick() != owner);
 }
 
-BOOST_FIXTURE_TEST_CASE(passes_over_silent_ejected_resting_and_tried_endpoints, Members) {
+BOOST_FIXTURE_TEST_CASE(avoids_unresponsive_ejected_backing_off_and_tried_endpoints, Members) {
   Load(0, 1);
   const Micros late = 2 * kSecond;
   BOOST_TEST(known[0]->Unresponsive(late));
@@ -574,10 +572,10 @@
   members.pop_back();
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick(late) == members[1]);
   members.pop_back();
-  BOOST_TEST(Pick(late) == members[0]);  // Better than nowhere.
+  BOOST_TEST(Pick(late) == members[0]);  // The only one left.
 }
 
-BOOST_FIXTURE_TEST_CASE(keeps_from_memory_that_runs_out, Members) {
+BOOST_FIXTURE_TEST_CASE(avoids_endpoints_short_of_memory, Members) {
   pending.call.prompt.clear();
   pending.call.prompt_tokens = 20'000;
   other.prompt_tokens = 90'000;
@@ -585,7 +583,7 @@
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick() == members[3]);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_slow_or_cold_or_far_endpoint_costs_more, Members) {
+BOOST_FIXTURE_TEST_CASE(a_slow_cold_or_other_zone_endpoint_costs_more, Members) {
   pending.call.prompt.clear();
   for (int i = 0; i < 20; ++i) known[0]->NoteLatencyRatio(0, 5.0);
   EndpointInfo cold = Info("e1");
@@ -596,7 +594,7 @@
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick() == members[3]);
 }
 
-BOOST_FIXTURE_TEST_CASE(lower_levels_and_batch_leave_the_last_slots, Members) {
+BOOST_FIXTURE_TEST_CASE(lower_levels_and_batch_do_not_use_reserved_slots, Members) {
   for (std::size_t i = 0; i < 4; ++i) Load(i, 9);
   pending.may_use_reserved_slots = false;
   BOOST_TEST(picker.Pick(0, pending, members, stats).only_reserved_slots);
@@ -610,7 +608,7 @@
   BOOST_TEST(half.Pick() == nullptr);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_endpoint_short_of_connections_for_us_is_a_last_resort, Members) {
+BOOST_FIXTURE_TEST_CASE(an_endpoint_without_free_connections_costs_more, Members) {
   stats.connection_share = 2.0;
   pending.call.prompt = {{1, 5'000}, {2, 10}};
   pending.call.prompt_tokens = 5'010;
@@ -620,7 +618,7 @@
   BOOST_TEST(Pick() != members[0]);
 }
 
-BOOST_AUTO_TEST_CASE(a_large_subset_is_looked_at_in_part_and_none_is_left_out) {
+BOOST_AUTO_TEST_CASE(a_large_subset_is_examined_in_part_and_all_members_are_used) {
   Members many(100);
   many.pending.call.prompt.clear();
   std::set<Endpoint*> picked;
--- a/tests/tier/policy/scenario_tools.h
+++ b/tests/tier/policy/scenario_tools.h
@@ -1,4 +1,4 @@
-// What scenarios of the decision module share: calls that come at random, and what became of them.
+// Helpers of the scenarios: generates calls at random times and counts their results.
 #ifndef SHELFLINK_TESTS_TIER_POLICY_SCENARIO_TOOLS_H_
 #define SHELFLINK_TESTS_TIER_POLICY_SCENARIO_TOOLS_H_
 
@@ -17,7 +17,7 @@
 
 using MakeCall = std::function<Call()>;
 
-// Calls that come at random, so many a second.
+// Poisson arrivals at one sidecar, and at all of them.
 inline void GenerateCalls(Simulation& simulation, std::size_t sidecar, Micros from, Micros until,
                           double per_second, const MakeCall& make) {
   const double gap = -std::log(1.0 - simulation.draws.Unit()) / per_second * 1e6;
@@ -35,20 +35,21 @@
     GenerateCalls(simulation, i, 0, until, per_second, make);
 }
 
-// Of the calls that came within the span.
+// Counts of the calls that arrived within a time span.
 struct Tally {
   double total = 0;
   double served = 0;
   double refused = 0;
   double lost = 0;          // Neither served nor refused.
-  double delayed = 0;       // Sent later than they came.
-  Micros longest_wait = 0;  // Until they were sent or refused.
+  double delayed = 0;       // Sent later than they arrived.
+  Micros longest_wait = 0;  // From arrival until sent or refused.
   std::vector<Micros> first_events;
 
-  Micros FirstEvent(double part) {
+  // Quantile of the time to the first event.
+  Micros FirstEvent(double quantile) {
     if (first_events.empty()) return 0;
     const auto at =
-        static_cast<std::ptrdiff_t>(part * static_cast<double>(first_events.size() - 1));
+        static_cast<std::ptrdiff_t>(quantile * static_cast<double>(first_events.size() - 1));
     std::nth_element(first_events.begin(), first_events.begin() + at, first_events.end());
     return first_events[static_cast<std::size_t>(at)];
   }
--- a/tests/tier/policy/scenarios.cpp
+++ b/tests/tier/policy/scenarios.cpp
@@ -8,7 +8,7 @@
 namespace shelflink::policy::testing {
 namespace {
 
-// Calls of a summary with its subject's shared parts, and of a short triage.
+// A summary call, whose prompt shares the parts of its subject, and a short triage call.
 Call Summary(Simulation& simulation, std::uint64_t subject) {
   Call call;
   call.prompt = {{1, 800}, {1000 + subject, 3200}, {simulation.draws.Word(), 1500}};
@@ -33,8 +33,8 @@
   return [&simulation] { return Triage(simulation, simulation.draws.Word() % 8); };
 }
 
-// One endpoint of eight is in trouble from the first second on.
-Simulation FourSidecarsEightEndpoints(std::uint64_t seed) { return Simulation(seed, 4, 8); }
+// The fleet of the scenarios with one faulty endpoint.
+Simulation FaultScenarioFleet(std::uint64_t seed) { return Simulation(seed, 4, 8); }
 
 }  // namespace
 
@@ -49,9 +49,9 @@
   Findings findings;
   Tally tally = Count(simulation, 0, 4 * kSecond);
   Expect(findings, tally.served == tally.total, "all are served", tally.total - tally.served);
-  Expect(findings, tally.delayed == 0, "nothing is held", tally.delayed);
+  Expect(findings, tally.delayed == 0, "no call is queued", tally.delayed);
   const Micros typical = tally.FirstEvent(0.95);
-  Expect(findings, typical < 100 * kMillisecond, "first events are prompt",
+  Expect(findings, typical < 100 * kMillisecond, "first events are fast",
          static_cast<double>(typical));
   return findings;
 }
@@ -95,12 +95,12 @@
   double sent[2] = {0.0, 0.0};
   for (const auto& [id, record] : simulation.records())
     sent[record.level] += record.first_sent_at >= 0 ? 1 : 0;
-  // Twice the endpoints' slots is where the limit starts; a quarter of it is batch's.
+  // The limit starts at twice the endpoints' slots; a quarter of it is reserved for batch.
   constexpr double kLive = 0.75 * 2.0 * 4 * 16;
-  Expect(findings, sent[0] + sent[1] <= 1.25 * kLive, "live levels keep to their part",
+  Expect(findings, sent[0] + sent[1] <= 1.25 * kLive, "live levels stay within their limit",
          sent[0] + sent[1]);
-  Expect(findings, sent[0] >= 0.5 * kLive, "the urgent level has most of it", sent[0]);
-  Expect(findings, sent[1] >= 4.0, "the next one has its own", sent[1]);
+  Expect(findings, sent[0] >= 0.5 * kLive, "the urgent level has most of the limit", sent[0]);
+  Expect(findings, sent[1] >= 4.0, "the next level has a pool of its own", sent[1]);
   return findings;
 }
 
@@ -114,7 +114,7 @@
   const Tally tally = Count(simulation, 0, kSecond);
   Expect(findings, tally.refused >= 0.5 * tally.total, "most are refused",
          tally.refused / tally.total);
-  Expect(findings, tally.longest_wait <= 80 * kMillisecond, "and told soon",
+  Expect(findings, tally.longest_wait <= 80 * kMillisecond, "calls are refused soon",
          static_cast<double>(tally.longest_wait));
   return findings;
 }
@@ -135,7 +135,7 @@
          small.served / small.total);
   Expect(findings, large.served > 0, "the large tenant is not starved", large.served);
   const Micros wait = std::max(small.longest_wait, large.longest_wait);
-  Expect(findings, wait <= 80 * kMillisecond, "nobody waits beyond the cap",
+  Expect(findings, wait <= 80 * kMillisecond, "no call waits longer than allowed",
          static_cast<double>(wait));
   return findings;
 }
@@ -151,7 +151,7 @@
     total += static_cast<double>(simulation.engine(i).arrived);
     max_arrived = std::max(max_arrived, static_cast<double>(simulation.engine(i).arrived));
   }
-  Expect(findings, max_arrived <= 3.0 * total / 8.0, "no endpoint draws three times the mean",
+  Expect(findings, max_arrived <= 3.0 * total / 8.0, "no endpoint gets three times the mean",
          max_arrived / total);
   const Tally tally = Count(simulation, 0, 4 * kSecond);
   Expect(findings, tally.served >= 0.97 * tally.total, "all are served",
@@ -162,7 +162,7 @@
 namespace {
 
 Findings RunOneFaulty(std::uint64_t seed, Fault fault, double slowness, double max_lost_share) {
-  Simulation simulation = FourSidecarsEightEndpoints(seed);
+  Simulation simulation = FaultScenarioFleet(seed);
   GenerateFleetCalls(simulation, 6 * kSecond, 30.0, Triages(simulation));
   Engine& engine = simulation.engine(seed % 8);
   std::uint64_t before = 0;
@@ -178,7 +178,7 @@
          tally.served / tally.total);
   const auto later = static_cast<double>(engine.arrived - before);
   const double share = later / (4.0 * 30.0 * 3.0);
-  Expect(findings, share <= 0.08, "calls keep from it", share);
+  Expect(findings, share <= 0.08, "calls avoid the faulty endpoint", share);
   return findings;
 }
 
@@ -256,10 +256,10 @@
   simulation.Schedule(4 * kSecond, [&] { after = simulation.sends(); });
   simulation.RunUntil(14 * kSecond);
   Findings findings;
-  Expect(findings, after - before >= 20, "calls go on being tried",
+  Expect(findings, after - before >= 20, "calls are still sent",
          static_cast<double>(after - before));
   const Tally tally = Count(simulation, 6 * kSecond, 8 * kSecond);
-  Expect(findings, tally.served >= 0.95 * tally.total, "served again soon",
+  Expect(findings, tally.served >= 0.95 * tally.total, "calls are served again soon",
          tally.served / tally.total);
   return findings;
 }
@@ -274,13 +274,13 @@
   const Tally tally = Count(simulation, 0, 4 * kSecond);
   Expect(findings, tally.refused == tally.total, "all are refused", tally.refused / tally.total);
   const auto sends = static_cast<double>(simulation.sends());
-  Expect(findings, sends <= 1.1 * tally.total + 20.0, "retries don't compound",
-         sends / tally.total);
+  Expect(findings, sends <= 1.1 * tally.total + 20.0, "there are few retries", sends / tally.total);
   Micros longest = 0;
   for (const auto& [id, record] : simulation.records()) {
     longest = std::max(longest, record.ended_at - record.arrived_at);
   }
-  Expect(findings, longest <= 90 * kMillisecond, "each is told soon", static_cast<double>(longest));
+  Expect(findings, longest <= 90 * kMillisecond, "calls are refused soon",
+         static_cast<double>(longest));
   return findings;
 }
 
@@ -288,7 +288,7 @@
 
 constexpr std::uint32_t kBatchLevel = 2;
 
-// A runner as in the program: it asks for room, then starts items.
+// Starts batch items like the runner of the program: as many as the module reports room for.
 void RunBatch(Simulation& simulation, std::size_t sidecar, Micros until) {
   for (std::uint32_t room = simulation.module(sidecar).Room(simulation.now(), kBatchLevel);
        room > 0; --room) {
@@ -319,9 +319,11 @@
   if (batch) {
     const Tally items = Count(simulation, 0, 4 * kSecond,
                               [](const CallRecord& r) { return r.level == kBatchLevel; });
-    Expect(findings, items.served >= 200, "batch gets on", items.served);
-    Expect(findings, items.delayed == 0, "batch items that had room don't wait", items.delayed);
-    Expect(findings, items.refused <= 0.02 * items.total, "nor are they refused", items.refused);
+    Expect(findings, items.served >= 200, "batch progresses", items.served);
+    Expect(findings, items.delayed == 0, "batch items within the room are not queued",
+           items.delayed);
+    Expect(findings, items.refused <= 0.02 * items.total,
+           "batch items within the room are not refused", items.refused);
   }
   return Count(simulation, 0, 4 * kSecond, [](const CallRecord& r) { return r.level == 0; });
 }
@@ -335,7 +337,7 @@
   Expect(findings, with_jobs.served >= 0.99 * with_jobs.total, "live calls are served",
          with_jobs.served / with_jobs.total);
   const Micros added = with_jobs.FirstEvent(0.9) - without_jobs.FirstEvent(0.9);
-  Expect(findings, added <= 60 * kMillisecond, "live calls are hardly slowed",
+  Expect(findings, added <= 60 * kMillisecond, "live calls are hardly slower",
          static_cast<double>(added));
   return findings;
 }
@@ -357,10 +359,10 @@
     max_arrived = std::max(max_arrived, static_cast<double>(simulation.engine(i).arrived));
     total += static_cast<double>(simulation.engine(i).arrived);
   }
-  // Anywhere: some 9 endpoints read each subject's part in the end, and the common one.
+  // Without affinity all 9 endpoints would prefill the part of each subject and the common part.
   const double per_subject = static_cast<double>(prefills) / kSubjects;
-  Expect(findings, per_subject <= 4.0, "shared parts are read at few endpoints", per_subject);
-  Expect(findings, max_arrived <= 0.5 * total, "no endpoint draws half of all",
+  Expect(findings, per_subject <= 4.0, "shared parts are prefilled at few endpoints", per_subject);
+  Expect(findings, max_arrived <= 0.5 * total, "no endpoint gets half of all calls",
          max_arrived / total);
   const Tally tally = Count(simulation, 0, 6 * kSecond);
   Expect(findings, tally.served == tally.total, "all are served", tally.served / tally.total);
@@ -377,7 +379,7 @@
   Expect(findings, tally.served >= 0.97 * tally.total, "a hot prefix is served",
          tally.served / tally.total);
   const Micros median = tally.FirstEvent(0.5);
-  Expect(findings, median <= 200 * kMillisecond, "its first events come in time",
+  Expect(findings, median <= 200 * kMillisecond, "first events come in time",
          static_cast<double>(median));
   return findings;
 }
@@ -403,12 +405,12 @@
                       [level](const CallRecord& record) { return record.level == level; });
   }
   const double live = (of[0].served + of[1].served) / (of[0].total + of[1].total);
-  Expect(findings, live <= 0.7, "there is less than is asked for", live);
-  Expect(findings, of[0].served / of[0].total >= of[1].served / of[1].total, "urgent ones go first",
-         of[0].served / of[0].total);
+  Expect(findings, live <= 0.7, "the load exceeds the capacity", live);
+  Expect(findings, of[0].served / of[0].total >= of[1].served / of[1].total,
+         "urgent calls come first", of[0].served / of[0].total);
   Expect(findings, of[1].served / of[1].total >= 0.3 * live, "the lower level is not starved",
          of[1].served / of[1].total);
-  Expect(findings, of[2].served >= 5.0, "nor is batch", of[2].served);
+  Expect(findings, of[2].served >= 5.0, "batch is not starved", of[2].served);
   return findings;
 }
 
@@ -426,7 +428,7 @@
   Expect(findings, tally.served >= 0.99 * tally.total, "long answers are served",
          tally.served / tally.total);
   const Micros p95 = tally.FirstEvent(0.95);
-  Expect(findings, p95 <= 50 * kMillisecond, "none waits for a slot", static_cast<double>(p95));
+  Expect(findings, p95 <= 50 * kMillisecond, "no call waits for a slot", static_cast<double>(p95));
   return findings;
 }
 
@@ -443,7 +445,8 @@
 
 namespace {
 
-// Drives one module by random events and keeps its own account of what is lawful.
+// Drives one module with random events and checks its decisions against an independent model of the
+// rules.
 class RandomEventDriver : private Actions {
  public:
   explicit RandomEventDriver(std::uint64_t seed)
@@ -465,7 +468,7 @@
     Call call;
     std::map<std::uint32_t, std::string> in_flight;
     std::uint32_t attempts = 0;
-    int sends = 0;  // That reached an endpoint, or may have.
+    int sends = 0;  // That count towards max_attempts.
     bool may_have_run = false;
     bool finished = false;
     std::set<std::string> rejected;
@@ -473,20 +476,20 @@
 
   void Send(CallId id, std::uint32_t attempt, const std::string& endpoint) override {
     CallState& state = calls_[id];
-    if (state.finished) Note("sent after its end");
-    if (!state.in_flight.empty()) Note("two attempts at a time");
+    if (state.finished) Note("sent after it finished");
+    if (!state.in_flight.empty()) Note("two attempts in flight");
     if (attempt != state.attempts) Note("attempts are not numbered in order");
     if (state.may_have_run && !state.call.repeatable) Note("sent again though it may have run");
     if (state.sends >= state.call.max_attempts) Note("sent to more than max_attempts");
-    if (now_ >= state.call.deadline) Note("sent after it was due");
-    if (!usable_.contains(endpoint)) Note("sent to one that drains or is gone");
-    if (state.rejected.contains(endpoint)) Note("sent again to one that turned it away");
+    if (now_ >= state.call.deadline) Note("sent after its deadline");
+    if (!usable_.contains(endpoint)) Note("sent to a draining or removed endpoint");
+    if (state.rejected.contains(endpoint)) Note("sent again to an endpoint that rejected it");
     ++state.attempts;
     ++state.sends;
     state.in_flight[attempt] = endpoint;
   }
   void Refuse(CallId id, Micros retry_after) override {
-    if (retry_after < 0) Note("negative advice");
+    if (retry_after < 0) Note("negative retry-after");
     if (calls_[id].may_have_run) Note("refused though it may have run");
     MarkEnded(id);
   }
@@ -495,7 +498,7 @@
     MarkEnded(id);
   }
   void SetTimer(Micros at) override {
-    if (at < now_) Note("a timer in the past");
+    if (at < now_) Note("timer set in the past");
     timer_ = std::min(timer_, at);
   }
 
@@ -503,7 +506,7 @@
   void MarkEnded(CallId id) {
     CallState& state = calls_[id];
     if (state.finished) Note("answered twice");
-    if (!state.in_flight.empty()) Note("answered while an attempt is out");
+    if (!state.in_flight.empty()) Note("answered while an attempt is in flight");
     state.finished = true;
   }
 
@@ -636,7 +639,7 @@
   }
 
   void FinishAllCalls() {
-    // What waits may be sent once others are over, or when a timer rings.
+    // Queued calls may be sent when others finish or a timer fires.
     for (int i = 0; i < 10'000; ++i) {
       const auto id = RandomCallInFlight();
       if (id) {
@@ -647,7 +650,7 @@
         break;
       }
     }
-    if (timer_ != kNever) Note("a timer is left though nothing waits");
+    if (timer_ != kNever) Note("timer still set without queued calls");
   }
 
   gaugecart::Draws draws_;
--- a/tests/tier/policy/scenarios.h
+++ b/tests/tier/policy/scenarios.h
@@ -1,5 +1,5 @@
-// What must hold of the decision module for every seed: scenarios among simple endpoints, and rows
-// of random events. Each returns what it found wrong.
+// Requirements on the decision module that hold for every seed: scenarios with simulated endpoints,
+// and sequences of random events. Each returns the requirements that were not met.
 #ifndef SHELFLINK_TESTS_TIER_POLICY_SCENARIOS_H_
 #define SHELFLINK_TESTS_TIER_POLICY_SCENARIOS_H_
 
@@ -13,53 +13,53 @@
 
 struct Scenario {
   const char* name;
-  Findings (*play)(std::uint64_t seed);
-  std::uint64_t seeds;  // How many a test plays.
+  Findings (*run)(std::uint64_t seed);
+  std::uint64_t seeds;  // Number of seeds that the test runs.
 };
 
-// Nothing is held or refused, and prompts are answered promptly.
+// Light load: no call is queued or refused, and first events are fast.
 Findings LightLoad(std::uint64_t seed);
-// A flood of one level takes nothing from another.
+// A flood of calls of one level does not affect a more urgent one.
 Findings LevelIsolation(std::uint64_t seed);
-// All levels together keep to the limit, each to its own pool.
+// All levels together stay within the limit, each within its own pool.
 Findings PoolLimits(std::uint64_t seed);
-// Where seats are stuck what comes is told soon that it can neither run nor wait.
+// If hung calls fill the pool, new calls are refused soon.
 Findings HungCallsFillPool(std::uint64_t seed);
-// A tenant that floods its level doesn't starve the others, and nobody waits beyond the cap.
+// A tenant that floods its level does not starve the others, and no call waits longer than allowed.
 Findings TenantFairness(std::uint64_t seed);
-// Sidecars that know the same don't all go to one endpoint.
+// Sidecars with the same information do not all choose the same endpoint.
 Findings NoHerding(std::uint64_t seed);
-// One endpoint that goes dark, fails, or turns slow costs little.
+// One endpoint that becomes unresponsive, failing, unreachable or slow affects few calls.
 Findings OneUnresponsive(std::uint64_t seed);
-// The endpoint that keeps what most calls share goes dark.
+// The owner of the prefix that all calls share becomes unresponsive.
 Findings UnresponsivePrefixOwner(std::uint64_t seed);
 Findings OneFailing(std::uint64_t seed);
 Findings OneUnreachable(std::uint64_t seed);
 Findings OneSlow(std::uint64_t seed);
-// Endpoints are replaced one after the other: drained, new ones cold.
+// Endpoints are replaced one after the other: old ones drain, new ones start cold.
 Findings RollingReplacement(std::uint64_t seed);
-// All endpoints go silent: calls go on being tried, and are served again soon after.
+// All endpoints become unresponsive: calls are still sent, and succeed again soon after recovery.
 Findings AllUnresponsive(std::uint64_t seed);
-// All endpoints turn everything away: few sends, and every call is told soon.
+// All endpoints reject every call: there are few retries, and every call is refused soon.
 Findings AllRejecting(std::uint64_t seed);
-// Batch items taken up by the room that is told don't slow live calls, and get on.
+// Batch items started according to the reported room progress and hardly slow live calls down.
 Findings BatchBesideLive(std::uint64_t seed);
-// Batch jobs that the fleet's endpoints have room for are done when due, whoever holds them, and
-// live calls get their first events as without them: 70 and 255 sidecars that are not told of any
-// load.
+// Batch jobs that fit the capacity of the fleet meet their deadline, whichever sidecars run them,
+// and first events of live calls take as long as without jobs. With 70 and with 255 sidecars, and
+// no load reports from the endpoints.
 Findings FleetFinishesBatch(std::uint64_t seed);
 Findings LargeFleetFinishesBatch(std::uint64_t seed);
-// Calls with shared prompt parts meet where the parts are kept.
+// Calls with shared prompt parts go to the endpoints that have cached them.
 Findings PrefixAffinity(std::uint64_t seed);
-// Many calls of one prefix spread once their endpoint is loaded.
+// Calls with one prefix spread to other endpoints once its owner is loaded.
 Findings HotPrefix(std::uint64_t seed);
-// Where the first level alone would take every slot, the others get something.
+// If level 0 alone could use every slot, the other levels still get some.
 Findings NoStarvation(std::uint64_t seed);
-// Long answers that cost no reading spread over the slots all the same.
+// Calls with long answers and cached prompts are spread over the slots as well.
 Findings LongAnswers(std::uint64_t seed);
-// One sidecar alone brings as many endpoints into use as its load takes.
+// A single sidecar uses as many endpoints as its load needs.
 Findings SubsetGrowth(std::uint64_t seed);
-// Whatever the events are: rules on repeats, attempts, drains and final answers.
+// Random events never break the rules on retries, attempts, draining and final answers.
 Findings RandomEvents(std::uint64_t seed);
 
 const std::vector<Scenario>& AllScenarios();
--- a/tests/tier/policy/simulation.h
+++ b/tests/tier/policy/simulation.h
@@ -1,5 +1,5 @@
-// A simple model of endpoints, clients and sidecars on a virtual clock, to see what the decision
-// module brings about. Endpoints read prompts one after the other, keep parts, run calls in slots
+// Discrete-event simulation of endpoints, clients and sidecars on a virtual clock, to test the
+// decision module. Endpoints prefill prompts one at a time, cache prompt parts, run calls in slots
 // and queue a few more.
 #ifndef SHELFLINK_TESTS_TIER_POLICY_SIMULATION_H_
 #define SHELFLINK_TESTS_TIER_POLICY_SIMULATION_H_
@@ -36,16 +36,16 @@
 
 enum class Fault {
   kNone,
-  kUnresponsive,  // Takes what comes and says nothing.
+  kUnresponsive,  // Accepts calls and sends nothing.
   kUnreachable,   // Connections fail.
-  kFailing,       // Every answer is a failure, at once.
-  kRejecting,     // Turns everything away.
+  kFailing,       // Answers every call with an error immediately.
+  kRejecting,     // Rejects every call.
 };
 
-// What became of one call of a client.
+// History of one call; times are -1 until they happen.
 struct CallRecord {
   Micros arrived_at = 0;
-  Micros first_sent_at = -1;  // First.
+  Micros first_sent_at = -1;
   Micros first_event_at = -1;
   Micros ended_at = -1;
   std::uint32_t level = 0;
@@ -103,7 +103,7 @@
   std::map<Key, Work> running_;
   std::deque<Work> waiting_;
   Micros prefill_free_at_ = 0;
-  std::map<std::uint64_t, std::uint64_t> cached_;  // Part to the count of its last use.
+  std::map<std::uint64_t, std::uint64_t> cached_;  // Use count at a part's last use.
   std::map<std::uint64_t, std::uint32_t> cached_part_tokens_;
   std::uint64_t cached_tokens_ = 0;
   std::uint64_t use_count_ = 0;
@@ -132,7 +132,7 @@
     PublishEndpoints();
   }
 
-  // Tells all sidecars of the endpoints as they are.
+  // Sends the current list of endpoints to all sidecars.
   void PublishEndpoints() {
     ServiceInfo service;
     service.name = "model";
@@ -162,7 +162,8 @@
     return *engines_.back();
   }
 
-  // A client's call; it leaves if nothing has come for two seconds.
+  // Submits a call of a client. The client of a live call leaves if no event arrives for two
+  // seconds.
   CallId SubmitCall(std::size_t sidecar, Call call) {
     call.id = ++last_call_;
     call.service = "model";
@@ -271,7 +272,8 @@
 
   std::map<CallId, Call>& CallsOf(std::size_t sidecar) { return nodes_[sidecar]->calls; }
 
-  // The endpoint's answer on its way back; `again` as the proxy would tell it.
+  // Delivers an outcome to the sidecar after the network delay, with `may_continue` as the proxy
+  // sets it.
   void DeliverOutcome(std::size_t sidecar, CallId call, std::uint32_t attempt, Outcome outcome) {
     Schedule(now_ + kMillisecond / 2, [this, sidecar, call, attempt, outcome] {
       CallRecord& record = records_[call];
@@ -371,7 +373,7 @@
   }
 }
 
-// Tokens of the prompt that are not kept; all of them are kept afterwards.
+// Returns the prompt tokens that are not cached, and adds all parts to the cache.
 inline std::uint64_t Engine::Prefill(const Call& call) {
   std::uint64_t cached = 0;
   bool all = true;
