--- a/src/tier/policy/module.cpp
+++ b/src/tier/policy/module.cpp
@@ -209,8 +209,6 @@
     return in_flight == 0 && services_.CanRunBatch(now) ? 1 : 0;
   }
 
-  // ---- Calls ----
-
   PendingCall* FindCall(CallId id) {
     const auto it = calls_.find(id);
     return it == calls_.end() ? nullptr : &it->second;
@@ -229,7 +227,7 @@
                            Scale(kMaxWaitPerObjective, ObjectiveOf(call)));
     // Leave enough time to run the call: after a longer wait it would miss its deadline.
     if (call.deadline != kNever)
-      wait = std::min(wait, call.deadline - now_ - levels_.TypicalSeatTime(call.level));
+      wait = std::min(wait, call.deadline - now_ - levels_.TypicalDuration(call.level));
     return wait;
   }
 
--- a/src/tier/policy/module.h
+++ b/src/tier/policy/module.h
@@ -40,11 +40,11 @@
   std::string node;
   std::string zone;
   std::uint32_t sidecars = 1;    // Ready sidecars, including this one.
-  std::uint32_t levels = 1;      // Priority levels; 0 is the most urgent, the last is batch.
+  std::uint32_t levels = 1;      // 0 is the most urgent, the last of two or more is batch.
   std::size_t max_calls = 4096;  // Pending calls; further ones are refused.
 };
 
-// A prefix segment of a prompt; equal ids mean equal content.
+// A segment of a prompt, identified by its content for prefix caching.
 struct PromptPart {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
--- a/src/tier/policy/pending_call.cpp
+++ b/src/tier/policy/pending_call.cpp
@@ -34,8 +34,9 @@
 }
 
 bool HasAttemptsLeft(const PendingCall& pending, Micros now) {
-  const int most = Mutated(Mutant::kExtraAttempts) ? 9 : std::max(1, pending.call.max_attempts);
-  return now < pending.call.deadline && pending.sends < most &&
+  const int max_sends =
+      Mutated(Mutant::kExtraAttempts) ? 9 : std::max(1, pending.call.max_attempts);
+  return now < pending.call.deadline && pending.sends < max_sends &&
          pending.attempts.size() < kMaxAttemptsIncludingUnsent;
 }
 
--- a/src/tier/policy/pending_call.h
+++ b/src/tier/policy/pending_call.h
@@ -12,6 +12,7 @@
 
 class Endpoint;
 
+// One attempt to run a call at an endpoint.
 struct Attempt {
   Endpoint* endpoint = nullptr;  // Null once it is over: the endpoint may be removed then.
   std::uint64_t endpoint_hash = 0;
--- a/src/tier/policy/priority_levels.cpp
+++ b/src/tier/policy/priority_levels.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 PriorityLevels::Entry::Entry(std::uint32_t index)
-    : pool(index, false), seat_times(gaugecart::kTimes) {}
+    : pool(index, false), durations(gaugecart::kTimes) {}
 
 PriorityLevels::PriorityLevels() { SetCount(1); }
 
@@ -49,7 +49,7 @@
 }
 
 void PriorityLevels::NoteArrival(Micros now, std::uint32_t level) {
-  const double typical = levels_[level].seat_times.typical() / kMicrosPerSecond;
+  const double typical = levels_[level].durations.typical() / kMicrosPerSecond;
   levels_[level].pool.demand.Add(now, typical > 0 ? typical : kInitialCallSeconds);
 }
 
@@ -112,8 +112,8 @@
   }
 }
 
-void PriorityLevels::NoteCompleted(Micros now, std::uint32_t level, Micros seat_time) {
-  levels_[level].seat_times.Note(static_cast<double>(seat_time), now);
+void PriorityLevels::NoteCompleted(Micros now, std::uint32_t level, Micros duration) {
+  levels_[level].durations.Note(static_cast<double>(duration), now);
 }
 
 void PriorityLevels::NoteOverload(std::uint32_t level) {
@@ -127,8 +127,8 @@
   limiter_->Overload(InFlight(), slow, late);
 }
 
-Micros PriorityLevels::TypicalSeatTime(std::uint32_t level) const {
-  return static_cast<Micros>(levels_[level].seat_times.typical());
+Micros PriorityLevels::TypicalDuration(std::uint32_t level) const {
+  return static_cast<Micros>(levels_[level].durations.typical());
 }
 
 bool PriorityLevels::IsBatch(std::uint32_t level) const {
--- a/src/tier/policy/priority_levels.h
+++ b/src/tier/policy/priority_levels.h
@@ -61,14 +61,14 @@
 
   // Adjusts the limit to the time of a first event against the objective.
   void NoteFirstEvent(Micros now, std::uint32_t level, Micros elapsed, Micros objective);
-  // Records a completed call, `seat_time` microseconds after it was sent.
-  void NoteCompleted(Micros now, std::uint32_t level, Micros seat_time);
+  // Records a completed call, `duration` microseconds after it was sent.
+  void NoteCompleted(Micros now, std::uint32_t level, Micros duration);
   // Records an overload signal: a timeout, a reset, a stream that started too late, a rejection.
   void NoteOverload(std::uint32_t level);
 
   bool IsBatch(std::uint32_t level) const;
   // Typical time in flight of a call of the level in microseconds; 0 if not known.
-  Micros TypicalSeatTime(std::uint32_t level) const;
+  Micros TypicalDuration(std::uint32_t level) const;
   // Concurrency limit of the level.
   double LimitOf(Micros now, std::uint32_t level) const;
   // Concurrency limit of all live levels and the batch reserve.
@@ -78,7 +78,7 @@
   struct Entry {
     explicit Entry(std::uint32_t index);
     gaugecart::Level pool;  // Its answer times are first-event times as fractions of the objective.
-    gaugecart::AnswerTimes seat_times;                                 // Time in flight of calls.
+    gaugecart::AnswerTimes durations;                                  // Time in flight of calls.
     std::unordered_map<std::uint64_t, std::uint32_t> waiting_by_flow;  // Queued calls.
   };
 
--- a/tests/tier/policy/long_prompts_test.cpp
+++ b/tests/tier/policy/long_prompts_test.cpp
@@ -29,9 +29,9 @@
 }
 
 std::vector<std::uint64_t> PoolMembers(const LongPromptPool& pool,
-                                       const std::vector<std::uint64_t>& all) {
+                                       const std::vector<std::uint64_t>& hashes) {
   std::vector<std::uint64_t> members;
-  std::copy_if(all.begin(), all.end(), std::back_inserter(members),
+  std::copy_if(hashes.begin(), hashes.end(), std::back_inserter(members),
                [&](std::uint64_t hash) { return pool.Contains(hash); });
   return members;
 }
--- a/tests/tier/policy/policy_parts_test.cpp
+++ b/tests/tier/policy/policy_parts_test.cpp
@@ -116,80 +116,80 @@
 BOOST_AUTO_TEST_SUITE(endpoint)
 
 struct OneEndpoint {
-  OneEndpoint() { known.Update(0, Info("a"), 1000); }
+  OneEndpoint() { endpoint.Update(0, Info("a"), 1000); }
   Attempt Sent(Micros now) {
     Attempt attempt;
-    attempt.endpoint = &known;
+    attempt.endpoint = &endpoint;
     attempt.sent = now;
     attempt.first_event_timeout = 100 * kMs;
     attempt.remaining_output_tokens = 20;
     attempt.uncached_tokens = 50;
-    known.AddAttempt(attempt, call);
+    endpoint.AddAttempt(attempt, call);
     return attempt;
   }
-  Endpoint known{1};
+  Endpoint endpoint{1};
   Call call;
 };
 
 BOOST_FIXTURE_TEST_CASE(is_unresponsive_with_an_overdue_first_event_and_no_activity, OneEndpoint) {
   Attempt first = Sent(0);
-  BOOST_TEST(!known.Unresponsive(99 * kMs));
-  BOOST_TEST(known.Unresponsive(100 * kMs));
-  known.NoteActivity(110 * kMs);  // An event of another call.
-  BOOST_TEST(!known.Unresponsive(150 * kMs));
-  BOOST_TEST(known.Unresponsive(210 * kMs));
-  known.NoteFirstEvent(220 * kMs, first, call);
-  BOOST_TEST(!known.Unresponsive(kSecond));
-  known.RemoveAttempt(first, call);
-  BOOST_TEST(known.calls() == 0U);
-  BOOST_TEST(known.queued_prefill_tokens() == 0U);
+  BOOST_TEST(!endpoint.Unresponsive(99 * kMs));
+  BOOST_TEST(endpoint.Unresponsive(100 * kMs));
+  endpoint.NoteActivity(110 * kMs);  // An event of another call.
+  BOOST_TEST(!endpoint.Unresponsive(150 * kMs));
+  BOOST_TEST(endpoint.Unresponsive(210 * kMs));
+  endpoint.NoteFirstEvent(220 * kMs, first, call);
+  BOOST_TEST(!endpoint.Unresponsive(kSecond));
+  endpoint.RemoveAttempt(first, call);
+  BOOST_TEST(endpoint.calls() == 0U);
+  BOOST_TEST(endpoint.queued_prefill_tokens() == 0U);
 }
 
 BOOST_FIXTURE_TEST_CASE(reported_calls_of_other_sidecars_decay, OneEndpoint) {
   Sent(0);
-  known.NoteLoad(0, 8, 2, 16);
-  BOOST_TEST(known.slots() == 16);
-  BOOST_TEST(known.OtherCalls(0) == 9.0);
-  BOOST_TEST(known.OtherCallsWaiting(0) == 2.0);
-  BOOST_TEST(known.OtherCalls(10 * kSecond) < 0.1);
+  endpoint.NoteLoad(0, 8, 2, 16);
+  BOOST_TEST(endpoint.slots() == 16);
+  BOOST_TEST(endpoint.OtherCalls(0) == 9.0);
+  BOOST_TEST(endpoint.OtherCallsWaiting(0) == 2.0);
+  BOOST_TEST(endpoint.OtherCalls(10 * kSecond) < 0.1);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_stream_near_its_end_has_less_weight, OneEndpoint) {
   call.output_tokens = 20;
   Attempt attempt = Sent(0);
-  BOOST_TEST(known.WeightedCalls(0) == 1.0);
-  known.NoteFirstEvent(0, attempt, call);
-  known.NoteProgress(0, attempt, 20);
-  BOOST_TEST(known.WeightedCalls(0) == 0.5);
-  known.NoteProgress(0, attempt, 20);  // More than expected.
-  known.RemoveAttempt(attempt, call);
-  BOOST_TEST(known.WeightedCalls(0) == 0.0);
+  BOOST_TEST(endpoint.WeightedCalls(0) == 1.0);
+  endpoint.NoteFirstEvent(0, attempt, call);
+  endpoint.NoteProgress(0, attempt, 20);
+  BOOST_TEST(endpoint.WeightedCalls(0) == 0.5);
+  endpoint.NoteProgress(0, attempt, 20);  // More than expected.
+  endpoint.RemoveAttempt(attempt, call);
+  BOOST_TEST(endpoint.WeightedCalls(0) == 0.0);
 }
 
 BOOST_FIXTURE_TEST_CASE(backs_off_longer_after_each_rejection, OneEndpoint) {
-  known.BackOff(0, 100 * kMs);
-  BOOST_TEST(known.BackingOff(99 * kMs));
-  BOOST_TEST(!known.BackingOff(100 * kMs));
-  known.BackOff(kSecond, 100 * kMs);
-  BOOST_TEST(known.BackingOff(kSecond + 199 * kMs));
-  for (int i = 0; i < 20; ++i) known.BackOff(2 * kSecond, 100 * kMs);
-  BOOST_TEST(!known.BackingOff(2 * kSecond + 800 * kMs));
+  endpoint.BackOff(0, 100 * kMs);
+  BOOST_TEST(endpoint.BackingOff(99 * kMs));
+  BOOST_TEST(!endpoint.BackingOff(100 * kMs));
+  endpoint.BackOff(kSecond, 100 * kMs);
+  BOOST_TEST(endpoint.BackingOff(kSecond + 199 * kMs));
+  for (int i = 0; i < 20; ++i) endpoint.BackOff(2 * kSecond, 100 * kMs);
+  BOOST_TEST(!endpoint.BackingOff(2 * kSecond + 800 * kMs));
 }
 
 BOOST_FIXTURE_TEST_CASE(is_not_usable_while_draining_misdirected_or_unlisted, OneEndpoint) {
-  BOOST_TEST(known.Usable(0));
-  known.NoteMisdirected(0);
-  BOOST_TEST(!known.Usable(kSecond));
-  known.Update(kSecond, Info("a"), 0);  // From an outdated list.
-  BOOST_TEST(!known.Usable(9 * kSecond));
-  BOOST_TEST(known.Usable(10 * kSecond));
+  BOOST_TEST(endpoint.Usable(0));
+  endpoint.NoteMisdirected(0);
+  BOOST_TEST(!endpoint.Usable(kSecond));
+  endpoint.Update(kSecond, Info("a"), 0);  // From an outdated list.
+  BOOST_TEST(!endpoint.Usable(9 * kSecond));
+  BOOST_TEST(endpoint.Usable(10 * kSecond));
   EndpointInfo draining = Info("a");
   draining.draining = true;
-  known.Update(10 * kSecond, draining, 0);
-  BOOST_TEST(!known.Usable(10 * kSecond));
-  known.Update(11 * kSecond, Info("a"), 0);
-  known.SetListed(false);
-  BOOST_TEST(!known.Usable(11 * kSecond));
+  endpoint.Update(10 * kSecond, draining, 0);
+  BOOST_TEST(!endpoint.Usable(10 * kSecond));
+  endpoint.Update(11 * kSecond, Info("a"), 0);
+  endpoint.SetListed(false);
+  BOOST_TEST(!endpoint.Usable(11 * kSecond));
 }
 
 BOOST_FIXTURE_TEST_CASE(coldness_falls_during_warm_up, OneEndpoint) {
@@ -207,16 +207,16 @@
 BOOST_AUTO_TEST_SUITE(health)
 
 struct OneHealth {
-  bool Note(bool failed, Micros now, bool most_ejected = false) {
-    usual.Note(failed);
+  bool Note(bool failed, Micros now, bool ejection_limit_reached = false) {
+    usual_failure.Note(failed);
     return health.Note(
-        failed, usual, [&] { return most_ejected; }, 1, now);
+        failed, usual_failure, [&] { return ejection_limit_reached; }, 1, now);
   }
   // Records failures until the endpoint is ejected.
   void Fail(Micros now) {
     for (int i = 0; i < 20 && !health.ejected(); ++i) Note(true, now);
   }
-  gaugecart::UsualFailure usual;
+  gaugecart::UsualFailure usual_failure;
   gaugecart::Health health;
 };
 
@@ -249,7 +249,7 @@
   for (int i = 0; i < 20; ++i) Note(true, 0, true);
   BOOST_TEST(!health.ejected());
   OneHealth other;
-  for (int i = 0; i < 200; ++i) other.usual.Note(true);
+  for (int i = 0; i < 200; ++i) other.usual_failure.Note(true);
   for (int i = 0; i < 20; ++i) other.Note(true, 0);
   BOOST_TEST(!other.health.ejected());
 }
@@ -261,8 +261,8 @@
 struct Fleet {
   Fleet()
       : subset([this](const EndpointInfo& info, std::uint64_t hash) -> Endpoint& {
-          const auto [it, fresh] = known.try_emplace(info.id, hash);
-          if (fresh) it->second.Update(0, info, 0);
+          const auto [it, inserted] = endpoints.try_emplace(info.id, hash);
+          if (inserted) it->second.Update(0, info, 0);
           return it->second;
         }) {}
   void SetEndpoints(int here, int there) {
@@ -276,7 +276,7 @@
     for (const Endpoint* member : subset.Members(now)) ids.insert(member->info().id);
     return ids;
   }
-  std::map<std::string, Endpoint> known;
+  std::map<std::string, Endpoint> endpoints;
   Subset subset;
 };
 
@@ -289,7 +289,7 @@
   BOOST_TEST((Ids(kSecond) == first));
   subset.SetNode("edge-2", "here");
   BOOST_TEST((Ids(kSecond) != first));
-  BOOST_TEST(known.size() <= 6U);  // Out of 40 in the list.
+  BOOST_TEST(endpoints.size() <= 6U);  // Out of 40 in the list.
 }
 
 BOOST_FIXTURE_TEST_CASE(grows_by_one_when_calls_in_flight_exceed_it, Fleet) {
@@ -340,22 +340,22 @@
   subset.SetNode("edge-1", "here");
   SetEndpoints(10, 0);
   const std::set<std::string> before = Ids(0);
-  Endpoint& sick = known.at(*before.begin());
-  gaugecart::UsualFailure usual;
+  Endpoint& failing = endpoints.at(*before.begin());
+  gaugecart::UsualFailure usual_failure;
   for (int i = 0; i < 5; ++i) {
-    usual.Note(false);
-    sick.health().Note(
-        true, usual, [] { return false; }, 1, 0);
+    usual_failure.Note(false);
+    failing.health().Note(
+        true, usual_failure, [] { return false; }, 1, 0);
   }
-  BOOST_TEST(sick.health().ejected());
+  BOOST_TEST(failing.health().ejected());
   subset.Invalidate();
   BOOST_TEST(Ids(0).size() == 4U);
-  EndpointInfo draining = sick.info();
+  EndpointInfo draining = failing.info();
   draining.draining = true;
-  sick.Update(0, draining, 0);
+  failing.Update(0, draining, 0);
   subset.Invalidate();
   BOOST_TEST(Ids(0).size() == 3U);
-  BOOST_TEST(!Ids(0).contains(sick.info().id));
+  BOOST_TEST(!Ids(0).contains(failing.info().id));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_new_list_keeps_the_ranks, Fleet) {
@@ -366,8 +366,8 @@
   BOOST_TEST(before.size() == 100U);
   SetEndpoints(299, 0);
   std::size_t cached = 0;
-  for (const std::string& id : Ids(0)) kept += before.contains(id) ? 1 : 0;
-  BOOST_TEST(kept >= 99U);
+  for (const std::string& id : Ids(0)) still_members += before.contains(id) ? 1 : 0;
+  BOOST_TEST(still_members >= 99U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -380,9 +380,9 @@
   levels.SetInitialLimit(100.0);
   levels.SetBatchLimit(25.0);
   levels.NoteArrival(0, 0);
-  const double all = levels.LimitOf(0, 0) + levels.LimitOf(0, 1) + levels.LimitOf(0, 2);
+  const double total = levels.LimitOf(0, 0) + levels.LimitOf(0, 1) + levels.LimitOf(0, 2);
   BOOST_TEST(levels.LimitOf(0, 2) == 25.0);
-  BOOST_TEST(all <= 100.0 + 2.0);
+  BOOST_TEST(total <= 100.0 + 2.0);
   const double live = levels.LimitOf(0, 0);
   levels.SetBatchLimit(60.0);  // Does not change the live levels.
   BOOST_TEST(levels.LimitOf(0, 2) == 60.0);
@@ -465,9 +465,9 @@
   levels.SetInitialLimit(100.0);  // With ten times as many sidecars.
   BOOST_TEST(levels.limit() == 100.0);
   levels.NoteOverload(0);
-  const double learned = levels.limit();
+  const double after_overload = levels.limit();
   levels.SetInitialLimit(90.0);
-  BOOST_TEST(levels.limit() == learned);
+  BOOST_TEST(levels.limit() == after_overload);
   levels.SetInitialLimit(40.0);
   BOOST_TEST(levels.limit() == 40.0);
 }
@@ -488,9 +488,9 @@
 struct Members {
   explicit Members(std::size_t count = 4) {
     for (std::size_t i = 0; i < count; ++i) {
-      known.push_back(std::make_unique<Endpoint>(HashOf("e" + std::to_string(i))));
-      known[i]->Update(0, Info("e" + std::to_string(i)), 100'000);
-      members.push_back(known[i].get());
+      endpoints.push_back(std::make_unique<Endpoint>(HashOf("e" + std::to_string(i))));
+      endpoints[i]->Update(0, Info("e" + std::to_string(i)), 100'000);
+      members.push_back(endpoints[i].get());
     }
     stats.kv_tokens = 100'000;
     for (int i = 0; i < 50; ++i) stats.first_event.Note(100.0 * (i % 20), 5e3 + 400.0 * (i % 20));
@@ -507,10 +507,10 @@
       Attempt attempt;
       attempt.sent = now;
       attempt.first_event_timeout = kSecond;
-      known[index]->AddAttempt(attempt, other);
+      endpoints[index]->AddAttempt(attempt, other);
     }
   }
-  std::vector<std::unique_ptr<Endpoint>> known;
+  std::vector<std::unique_ptr<Endpoint>> endpoints;
   std::vector<Endpoint*> members;
   ServiceStats stats;
   PendingCall pending;
@@ -528,7 +528,7 @@
 BOOST_FIXTURE_TEST_CASE(prefers_the_endpoint_with_cached_parts_until_it_is_overloaded, Members) {
   pending.call.prompt = {{1, 20'000}, {2, 100}};
   pending.call.prompt_tokens = 20'100;
-  known[2]->prefixes().NoteSent({{1, 20'000}});
+  endpoints[2]->prefixes().NoteSent({{1, 20'000}});
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick() == members[2]);
   Load(2, 12);  // More than its slots.
   BOOST_TEST(Pick() != members[2]);
@@ -560,13 +560,13 @@
 BOOST_FIXTURE_TEST_CASE(avoids_unresponsive_ejected_backing_off_and_tried_endpoints, Members) {
   Load(0, 1);
   const Micros late = 2 * kSecond;
-  BOOST_TEST(known[0]->Unresponsive(late));
-  known[1]->BackOff(late, kSecond);
+  BOOST_TEST(endpoints[0]->Unresponsive(late));
+  endpoints[1]->BackOff(late, kSecond);
   pending.attempts.push_back({});
   pending.attempts.back().in_flight = false;
-  pending.attempts.back().endpoint_hash = known[2]->hash();
+  pending.attempts.back().endpoint_hash = endpoints[2]->hash();
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick(late) == members[3]);
-  pending.attempts.back().endpoint_hash = known[3]->hash();
+  pending.attempts.back().endpoint_hash = endpoints[3]->hash();
   members.pop_back();
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick(late) == members[2]);
   members.pop_back();
@@ -585,12 +585,12 @@
 
 BOOST_FIXTURE_TEST_CASE(a_slow_cold_or_other_zone_endpoint_costs_more, Members) {
   pending.call.prompt.clear();
-  for (int i = 0; i < 20; ++i) known[0]->NoteLatencyRatio(0, 5.0);
+  for (int i = 0; i < 20; ++i) endpoints[0]->NoteLatencyRatio(0, 5.0);
   EndpointInfo cold = Info("e1");
   cold.cold_until = 10 * kSecond;
-  known[1]->SetListed(false);
-  known[1]->Update(0, cold, 100'000);
-  known[2]->Update(0, Info("e2", "there"), 100'000);
+  endpoints[1]->SetListed(false);
+  endpoints[1]->Update(0, cold, 100'000);
+  endpoints[2]->Update(0, Info("e2", "there"), 100'000);
   for (int i = 0; i < 8; ++i) BOOST_TEST(Pick() == members[3]);
 }
 
@@ -612,7 +612,7 @@
   stats.connection_share = 2.0;
   pending.call.prompt = {{1, 5'000}, {2, 10}};
   pending.call.prompt_tokens = 5'010;
-  known[0]->prefixes().NoteSent({{1, 5'000}});
+  endpoints[0]->prefixes().NoteSent({{1, 5'000}});
   BOOST_TEST(Pick() == members[0]);
   Load(0, 2);
   BOOST_TEST(Pick() != members[0]);
--- a/tests/tier/policy/simulation.h
+++ b/tests/tier/policy/simulation.h
@@ -68,7 +68,7 @@
     std::size_t sidecar;
     CallId call;
     std::uint32_t attempt;
-    Call what;
+    Call request;
   };
 
   void Arrive(const Work& work);
@@ -179,8 +179,8 @@
     nodes_[sidecar]->module.OnCall(now_, call);
     if (!call.batch) {
       Schedule(now_ + 2 * kSecond, [this, sidecar, id = call.id] {
-        const CallRecord& known = records_[id];
-        if (known.ended_at >= 0 || known.first_event_at >= 0) return;
+        const CallRecord& current = records_[id];
+        if (current.ended_at >= 0 || current.first_event_at >= 0) return;
         for (auto& engine : engines_) engine->Cancel(sidecar, id);
         records_[id].abandoned = true;
         records_[id].ended_at = now_;
@@ -192,15 +192,15 @@
     return call.id;
   }
 
-  void Schedule(Micros at, std::function<void()> what) {
-    events_.push({std::max(at, now_), next_order_++, std::move(what)});
+  void Schedule(Micros at, std::function<void()> action) {
+    events_.push({std::max(at, now_), next_order_++, std::move(action)});
   }
   void RunUntil(Micros until) {
     while (!events_.empty() && events_.top().at <= until) {
       Event event = events_.top();
       events_.pop();
       now_ = event.at;
-      event.what();
+      event.action();
     }
     now_ = until;
   }
@@ -222,7 +222,7 @@
   struct Event {
     Micros at;
     std::uint64_t order;
-    std::function<void()> what;
+    std::function<void()> action;
     bool operator<(const Event& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
     }
@@ -328,7 +328,7 @@
 inline void Engine::StartCall(const Work& work) {
   running_[{work.sidecar, work.call}] = work;
   max_running = std::max(max_running, running_.size());
-  const auto tokens = static_cast<double>(Prefill(work.what));
+  const auto tokens = static_cast<double>(Prefill(work.request));
   const auto prefill = static_cast<Micros>(tokens * options_.micros_per_prompt_token * slowness);
   prefill_free_at_ = std::max(prefill_free_at_, simulation_.now()) + prefill;
   simulation_.Schedule(prefill_free_at_, [this, work] { EmitEvent(work, 0); });
@@ -337,7 +337,8 @@
 inline void Engine::EmitEvent(const Work& work, std::uint32_t done) {
   if (!running_.contains({work.sidecar, work.call}) || fault == Fault::kUnresponsive) return;
   constexpr std::uint32_t kTokensPerEvent = 8;
-  const std::uint32_t remaining = work.what.output_tokens - std::min(done, work.what.output_tokens);
+  const std::uint32_t remaining =
+      work.request.output_tokens - std::min(done, work.request.output_tokens);
   const std::uint32_t tokens = std::min(kTokensPerEvent, remaining);
   simulation_.Schedule(
       simulation_.now() + kMillisecond / 2,
@@ -376,12 +377,12 @@
 // Returns the prompt tokens that are not cached, and adds all parts to the cache.
 inline std::uint64_t Engine::Prefill(const Call& call) {
   std::uint64_t cached = 0;
-  bool all = true;
+  bool prefix_cached = true;
   for (std::size_t i = 0; i < call.prompt.size(); ++i) {
     const PromptPart& part = call.prompt[i];
-    all = all && cached_.contains(part.id);
-    if (all) cached += part.tokens;
-    if (!all && i + 1 < call.prompt.size()) ++shared_parts_prefilled;
+    prefix_cached = prefix_cached && cached_.contains(part.id);
+    if (prefix_cached) cached += part.tokens;
+    if (!prefix_cached && i + 1 < call.prompt.size()) ++shared_parts_prefilled;
     if (!cached_.contains(part.id)) cached_tokens_ += part.tokens;
     cached_[part.id] = ++use_count_;
     cached_part_tokens_[part.id] = part.tokens;
