--- a/src/tier/policy/priority_levels.h
+++ b/src/tier/policy/priority_levels.h
@@ -93,7 +93,7 @@
   std::size_t count_ = 0;
   double min_limit_ = 0.0;
   double batch_limit_ = 0.0;
-  bool overload_seen_ = false;  // Since the start of the process.
+  bool overload_seen_ = false;  // An overload signal was recorded before.
 };
 
 }  // namespace shelflink::policy
--- a/tests/tier/policy/batch_share_test.cpp
+++ b/tests/tier/policy/batch_share_test.cpp
@@ -265,7 +265,7 @@
   BOOST_TEST(actions.refused.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_endpoint_gets_no_batch_calls_after_losing_its_owner, Sidecar) {
+BOOST_FIXTURE_TEST_CASE(an_endpoint_no_longer_owned_gets_no_batch_calls, Sidecar) {
   SubmitCall(1, 0, true);
   SetEndpoints({"own", "other"}, {"other"});
   BOOST_TEST(module.Room(0, 1) >= 1U);
