--- a/src/tier/coordination/record.cpp
+++ b/src/tier/coordination/record.cpp
@@ -5,14 +5,14 @@
 namespace shelflink::coordination {
 
 namespace {
-constexpr std::size_t kMostMembers = 64;
+constexpr std::size_t kMaxMembers = 64;
 
-void WriteAll(cbor::Writer& out, const std::vector<CoreMember>& members) {
+void WriteMembers(cbor::Writer& out, const std::vector<CoreMember>& members) {
   out.Array(members.size());
   for (const CoreMember& member : members) Put(out, member);
 }
 
-std::string NodesOf(const std::vector<CoreMember>& members) {
+std::string NodeNames(const std::vector<CoreMember>& members) {
   std::string nodes;
   for (const CoreMember& member : members) nodes += " " + member.node;
   return nodes;
@@ -32,21 +32,21 @@
 }
 
 bool IsWitnessOf(const Record& base, const CoreMember& member) {
-  if (base.number > 0) return FindDisk(base.witnesses, member.disk) != nullptr;
+  if (base.epoch > 0) return FindDisk(base.witnesses, member.disk) != nullptr;
   return std::any_of(base.witnesses.begin(), base.witnesses.end(),
                      [&](const CoreMember& seed) { return seed.address == member.address; });
 }
 
 std::size_t Majority(const Record& base) { return base.witnesses.size() / 2 + 1; }
 
-bool IsQuorum(const Record& base, std::size_t agreed, std::size_t gone) {
+bool IsQuorum(const Record& base, std::size_t agreed, std::size_t replaced) {
   if (agreed >= Majority(base)) return true;
-  if (gone >= Majority(base)) return false;  // They alone may have decided already.
-  return gone > 0 && agreed + gone >= base.witnesses.size();
+  if (replaced >= Majority(base)) return false;  // They may have decided a record alone.
+  return replaced > 0 && agreed + replaced >= base.witnesses.size();
 }
 
 const CoreMember* ReplacedWitness(const Record& base, const CoreMember& member) {
-  if (base.number == 0 || member.disk.empty()) return nullptr;
+  if (base.epoch == 0 || member.disk.empty()) return nullptr;
   if (FindDisk(base.witnesses, member.disk) != nullptr) return nullptr;
   const auto found =
       std::find_if(base.witnesses.begin(), base.witnesses.end(),
@@ -57,7 +57,7 @@
 std::vector<CoreMember> MembersOf(const Record& record) {
   std::vector<CoreMember> members = record.replicas;
   for (const CoreMember& witness : record.witnesses) {
-    if (record.number == 0 || FindDisk(members, witness.disk) == nullptr) {
+    if (record.epoch == 0 || FindDisk(members, witness.disk) == nullptr) {
       members.push_back(witness);
     }
   }
@@ -73,9 +73,9 @@
 
 std::string DescriptionOf(const Record& record) {
   const CoreMember* primary = FindDisk(record.replicas, record.primary);
-  return "epoch " + std::to_string(record.number) + ", primary " +
-         (primary == nullptr ? "none" : primary->node) + ", replicas" + NodesOf(record.replicas) +
-         ", witnesses" + NodesOf(record.witnesses);
+  return "epoch " + std::to_string(record.epoch) + ", primary " +
+         (primary == nullptr ? "none" : primary->node) + ", replicas" + NodeNames(record.replicas) +
+         ", witnesses" + NodeNames(record.witnesses);
 }
 
 void Put(cbor::Writer& out, const CoreMember& member) {
@@ -99,22 +99,22 @@
 
 std::vector<CoreMember> ReadMembers(cbor::Reader& in) {
   const std::size_t count = in.Array();
-  if (count > kMostMembers) in.Fail();
+  if (count > kMaxMembers) in.Fail();
   std::vector<CoreMember> members;
   for (std::size_t i = 0; i < count && in.ok(); ++i) members.push_back(ReadMember(in));
   return members;
 }
 
 void Put(cbor::Writer& out, const Record& record) {
-  out.Array(5).Uint(record.number).Text(record.primary).Uint(record.incarnation);
-  WriteAll(out, record.replicas);
-  WriteAll(out, record.witnesses);
+  out.Array(5).Uint(record.epoch).Text(record.primary).Uint(record.incarnation);
+  WriteMembers(out, record.replicas);
+  WriteMembers(out, record.witnesses);
 }
 
 Record ReadRecord(cbor::Reader& in) {
   Record record;
   if (in.Array() < 5) in.Fail();
-  record.number = in.Uint();
+  record.epoch = in.Uint();
   record.primary = in.Text();
   record.incarnation = in.Uint();
   record.replicas = ReadMembers(in);
--- a/src/tier/policy/endpoint.cpp
+++ b/src/tier/policy/endpoint.cpp
@@ -124,7 +124,7 @@
 
 double Endpoint::BatchRoom(Micros now) const {
   if (!info_.owned_for_batch || !Usable(now) || BackingOff(now) || Unresponsive(now)) return 0.0;
-  if (health_.Avoided(now)) return 0.0;
+  if (health_.ShouldAvoid(now)) return 0.0;
   const double below_limit = batch_limit_.value() - static_cast<double>(batch_calls_);
   const double below_threshold = BatchAdmissionThreshold() - WeightedCalls(now);
   const double prefills_left = kMaxBatchPrefills - static_cast<double>(batch_prefills_);
--- a/src/tier/policy/outcome_feedback.cpp
+++ b/src/tier/policy/outcome_feedback.cpp
@@ -154,10 +154,10 @@
   Service& service = services_.At(pending.call.service);
   const auto ejection_limit_reached = [&] { return EjectionLimitReached(now, service); };
   if (failed && Mutated(Mutant::kNeverEject)) return;
-  service.usual_failure.Note(failed);
+  service.baseline_failure_rate.Note(failed);
   bool changed = false;
   for (int i = 0; i < times && !changed; ++i) {
-    changed = endpoint.health().Note(failed, service.usual_failure, ejection_limit_reached,
+    changed = endpoint.health().Note(failed, service.baseline_failure_rate, ejection_limit_reached,
                                      seed_ ^ endpoint.hash(), now);
   }
   if (changed) service.subset.Invalidate();
@@ -169,7 +169,7 @@
   const auto ejected = std::count_if(members.begin(), members.end(),
                                      [](const Endpoint* e) { return e->health().ejected(); });
   return static_cast<double>(ejected + 1) >
-         gaugecart::kMaxEjected * static_cast<double>(members.size());
+         gaugecart::kMaxEjectedPart * static_cast<double>(members.size());
 }
 
 }  // namespace shelflink::policy
--- a/src/tier/policy/picker.cpp
+++ b/src/tier/policy/picker.cpp
@@ -147,7 +147,7 @@
 
 Picker::Availability Picker::AvailabilityOf(Micros now, const PendingCall& pending,
                                             const Endpoint& endpoint) {
-  if (endpoint.health().Avoided(now)) return Availability::kEjected;
+  if (endpoint.health().ShouldAvoid(now)) return Availability::kEjected;
   if (endpoint.Unresponsive(now)) return Availability::kUnresponsive;
   if (pending.Tried(endpoint)) return Availability::kTried;
   return endpoint.BackingOff(now) ? Availability::kBackingOff : Availability::kHealthy;
--- a/src/tier/policy/priority_levels.cpp
+++ b/src/tier/policy/priority_levels.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 PriorityLevels::Entry::Entry(std::uint32_t index)
-    : pool(index, false), durations(gaugecart::kTimes) {}
+    : pool(index, false), durations(gaugecart::kAnswerTimesTuning) {}
 
 PriorityLevels::PriorityLevels() { SetCount(1); }
 
@@ -41,7 +41,7 @@
 
 void PriorityLevels::Reset(double limit) {
   limiter_.emplace(std::max(limit, MinStart()),
-                   gaugecart::kSeatFloor * static_cast<double>(levels_.size()));
+                   gaugecart::kMinLevelLimit * static_cast<double>(levels_.size()));
 }
 
 double PriorityLevels::MinStart() const {
@@ -54,7 +54,7 @@
 }
 
 std::optional<CallId> PriorityLevels::Enqueue(std::uint32_t level,
-                                              const gaugecart::Waiting& waiting) {
+                                              const gaugecart::QueuedRequest& waiting) {
   Entry& entry = levels_[level];
   ++entry.waiting_by_flow[waiting.flow];
   const auto shed = entry.pool.queues.Enqueue(waiting, [&](std::uint64_t flow) {
@@ -69,18 +69,18 @@
   RemoveWaiting(levels_[level], flow);
 }
 
-std::optional<gaugecart::Waiting> PriorityLevels::Next(Micros now, std::uint32_t level) {
+std::optional<gaugecart::QueuedRequest> PriorityLevels::Next(Micros now, std::uint32_t level) {
   Entry& entry = levels_[level];
   if (entry.pool.queues.size() == 0) return std::nullopt;
   if (static_cast<double>(entry.pool.in_flight) + 1.0 > std::max(1.0, LimitOf(now, level))) {
     return std::nullopt;
   }
-  const auto next = entry.pool.queues.Next([](const gaugecart::Waiting&) { return true; });
+  const auto next = entry.pool.queues.Next([](const gaugecart::QueuedRequest&) { return true; });
   if (next) RemoveWaiting(entry, next->flow);
   return next;
 }
 
-void PriorityLevels::PutBack(std::uint32_t level, const gaugecart::Waiting& waiting) {
+void PriorityLevels::PutBack(std::uint32_t level, const gaugecart::QueuedRequest& waiting) {
   levels_[level].pool.queues.PutBack(waiting);
   ++levels_[level].waiting_by_flow[waiting.flow];
 }
@@ -100,15 +100,16 @@
   gaugecart::Level& pool = levels_[level].pool;
   const double ratio = static_cast<double>(elapsed) / static_cast<double>(objective);
   pool.times.Note(ratio, now);
-  const bool calm = pool.Calm();
-  const bool slow = !calm && pool.times.typical() > kFastFirstEvent;
+  const bool near_baseline = pool.NearBaseline();
+  const bool slow = !near_baseline && pool.times.typical() > kFastFirstEvent;
   const bool late = slow && pool.times.typical() > 1.0;
-  const bool low = limiter_->Low();
+  const bool far_below_start = limiter_->IsFarBelowStart();
   // If first events take no longer than without load, a lower limit does not make them faster.
-  if (ratio > 1.0 && !(calm && low)) {
+  if (ratio > 1.0 && !(near_baseline && far_below_start)) {
     Overload(slow, late);
-  } else if ((calm && low) || (ratio <= kFastFirstEvent && (calm || (!slow && low)))) {
-    limiter_->Prompt(InFlight(), true);
+  } else if ((near_baseline && far_below_start) ||
+             (ratio <= kFastFirstEvent && (near_baseline || (!slow && far_below_start)))) {
+    limiter_->NotePrompt(InFlight(), true);
   }
 }
 
@@ -118,13 +119,13 @@
 
 void PriorityLevels::NoteOverload(std::uint32_t level) {
   const gaugecart::Level& pool = levels_[level].pool;
-  const bool slow = !pool.Calm() && pool.times.typical() > kFastFirstEvent;
+  const bool slow = !pool.NearBaseline() && pool.times.typical() > kFastFirstEvent;
   Overload(slow, slow && pool.times.typical() > 1.0);
 }
 
 void PriorityLevels::Overload(bool slow, bool late) {
   overload_seen_ = true;
-  limiter_->Overload(InFlight(), slow, late);
+  limiter_->NoteOverload(InFlight(), slow, late);
 }
 
 Micros PriorityLevels::TypicalDuration(std::uint32_t level) const {
@@ -139,7 +140,7 @@
   const double total = limit();
   if (Mutated(Mutant::kSharedPools)) return total;
   if (IsBatch(level)) return batch_limit_;
-  if (level >= count_) return gaugecart::kSeatFloor;  // Removed level: drains its queue.
+  if (level >= count_) return gaugecart::kMinLevelLimit;  // Removed level: drains its queue.
   const std::size_t live = count_ > 1 ? count_ - 1 : 1;
   double total_demand = 0.0;
   double level_demand = 0.0;
@@ -153,7 +154,7 @@
   const double share = kEvenShare * even +
                        (1.0 - kEvenShare) * (total_demand > 0 ? level_demand / total_demand : even);
   const double live_limit = (count_ > 1 ? 1.0 - kBatchReserve : 1.0) * total;
-  return std::max(std::min(gaugecart::kSeatFloor, live_limit * even), live_limit * share);
+  return std::max(std::min(gaugecart::kMinLevelLimit, live_limit * even), live_limit * share);
 }
 
 double PriorityLevels::InFlight() const {
--- a/src/tier/policy/priority_levels.h
+++ b/src/tier/policy/priority_levels.h
@@ -45,13 +45,13 @@
   // Adds an arrived call to the demand of its level, with the typical duration of its calls.
   void NoteArrival(Micros now, std::uint32_t level);
   // Queues a call. Returns the call shed because the queue is full, if any; possibly this one.
-  std::optional<CallId> Enqueue(std::uint32_t level, const gaugecart::Waiting& waiting);
+  std::optional<CallId> Enqueue(std::uint32_t level, const gaugecart::QueuedRequest& waiting);
   void Remove(std::uint32_t level, CallId call, std::uint64_t flow);
   // Dequeues the next call of the level; none if its pool is full or no call is queued.
-  std::optional<gaugecart::Waiting> Next(Micros now, std::uint32_t level);
+  std::optional<gaugecart::QueuedRequest> Next(Micros now, std::uint32_t level);
 
   // Puts a dequeued call that cannot be sent now back to the front of its queue.
-  void PutBack(std::uint32_t level, const gaugecart::Waiting& waiting);
+  void PutBack(std::uint32_t level, const gaugecart::QueuedRequest& waiting);
 
   void Start(std::uint32_t level) { ++levels_[level].pool.in_flight; }
   void Finish(std::uint32_t level) { --levels_[level].pool.in_flight; }
--- a/src/tier/policy/services.h
+++ b/src/tier/policy/services.h
@@ -29,7 +29,7 @@
   std::vector<Endpoint*> batch_candidates;  // Result of BatchCandidates.
   Picker picker;
   ServiceStats stats;
-  gaugecart::UsualFailure usual_failure;
+  gaugecart::BaselineFailureRate baseline_failure_rate;
   int max_connections = 0;
   double slots = 0.0;  // Of all endpoints.
   std::size_t in_flight = 0;
--- a/src/tier/policy/subset.cpp
+++ b/src/tier/policy/subset.cpp
@@ -101,7 +101,7 @@
     if (window_end_ > 0 && window_peak_ < size_.size()) {
       size_.Shrink();
       prefix_owners_.resize(
-          std::min(prefix_owners_.size(), size_.size() - gaugecart::kFirstSubset));
+          std::min(prefix_owners_.size(), size_.size() - gaugecart::kInitialSubsetSize));
       stale_ = true;
     }
     window_end_ = now + kShrinkInterval;
--- a/src/tier/proxy/front.cpp
+++ b/src/tier/proxy/http_frontend.cpp
@@ -1,4 +1,4 @@
-#include "tier/proxy/front.h"
+#include "tier/proxy/http_frontend.h"
 
 #include <algorithm>
 #include <array>
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "tier/proxy/batch_requests.h"
+#include "tier/proxy/header_names.h"
 #include "tier/proxy/headers.h"
-#include "tier/proxy/names.h"
 
 namespace shelflink::proxy {
 
@@ -24,33 +24,33 @@
 
 namespace http = boost::beast::http;
 
-// The platform needs two missed checks, a second apart, to send no more new connections.
-constexpr auto kPlatformNotices = milliseconds(2500);
-// Clients keep within the limits by their own clocks; what the way takes comes on top.
-constexpr auto kWaySlack = milliseconds(500);
-constexpr std::size_t kLargestHead = 65536;
-// What is configured beyond that is no limit to any client.
-constexpr std::size_t kLargestHeaderLimit = std::size_t{1} << 30;
-constexpr double kNotReadyRetryAfter = 0.25;
-constexpr double kNoRoomRetryAfter = 0.5;
+// The platform stops sending new connections after two failed checks, one second apart.
+constexpr auto kPlatformDetectionTime = milliseconds(2500);
+// Added to the limits, which clients measure by their own clocks, for the network latency.
+constexpr auto kNetworkSlack = milliseconds(500);
+constexpr std::size_t kInitialMaxHeaderBytes = 65536;
+// A larger configured limit is reduced to this, which no client reaches.
+constexpr std::size_t kMaxHeaderLimitBytes = std::size_t{1} << 30;
+constexpr double kNotReadyRetryAfterS = 0.25;
+constexpr double kNoMemoryRetryAfterS = 0.5;
 
 kelpspring::ServerTerms TermsOf(const configuration::ClientLimits& limits, milliseconds grace) {
   kelpspring::ServerTerms terms;
   terms.health_path.clear();
   terms.header_limit =
-      static_cast<std::uint32_t>(std::min(limits.max_header_bytes, kLargestHeaderLimit));
+      static_cast<std::uint32_t>(std::min(limits.max_header_bytes, kMaxHeaderLimitBytes));
   terms.body_limit = limits.max_body_bytes;
   terms.first_span.reset();
-  terms.request_span = limits.header_timeout + kWaySlack;
+  terms.request_span = limits.header_timeout + kNetworkSlack;
   terms.rest_span = limits.idle_timeout;
-  terms.drain_window = std::min(kPlatformNotices, grace / 3);
+  terms.drain_window = std::min(kPlatformDetectionTime, grace / 3);
   terms.leave_half_read = grace / 2;
   terms.folded_headers = false;
   terms.break_by_reset = false;
   return terms;
 }
 
-HttpResponse Refusal(std::optional<double> retry_after) {
+HttpResponse UnavailableResponse(std::optional<double> retry_after) {
   HttpResponse response = kelpspring::PlainText(http::status::service_unavailable,
                                                 "has not run and will not: try again\n");
   if (retry_after) {
@@ -61,7 +61,7 @@
   return response;
 }
 
-HttpResponse HeadOf(int status, const HeaderList& headers) {
+HttpResponse ResponseHeadOf(int status, const HeaderList& headers) {
   HttpResponse head{http::int_to_status(static_cast<unsigned>(status)), 11};
   if (head.result() == http::status::unknown) head.result(static_cast<unsigned>(status));
   for (const auto& [name, value] : headers) head.insert(name, value);
@@ -70,70 +70,72 @@
 
 }  // namespace
 
-// Until a configuration tells the limits, nothing is turned away for its size: all of it gets 503.
-configuration::ClientLimits LimitsBeforeConfiguration() {
+// Limits before the first configuration: no request is rejected for its size, all of them get 503.
+configuration::ClientLimits InitialLimits() {
   configuration::ClientLimits limits;
-  limits.max_header_bytes = kLargestHead;
+  limits.max_header_bytes = kInitialMaxHeaderBytes;
   limits.max_body_bytes = kelpspring::kLargestBody;
   return limits;
 }
 
-// What the client will still wait. A fraction of a millisecond does not count.
-std::optional<milliseconds> ClientWait(const HttpRequest& request) {
-  constexpr std::uint64_t kLongest = 86'400'000;
+// How long the client will wait, from its deadline header. A fraction of a millisecond is ignored.
+std::optional<milliseconds> ClientTimeout(const HttpRequest& request) {
+  constexpr std::uint64_t kMaxMs = 86'400'000;
   const std::string_view text = View(request[kDeadlineHeader]);
-  const auto wait = WholeNumber(text.substr(0, text.find('.')));
+  const auto wait = ParseUnsigned(text.substr(0, text.find('.')));
   if (!wait) return std::nullopt;
-  return milliseconds(std::min(*wait, kLongest));
+  return milliseconds(std::min(*wait, kMaxMs));
 }
 
-// One request of a client, from its call to the end of its answer.
-class Front::Exchange final : public CallUser {
+// One request of a client, from the start of its call to the end of the response.
+class HttpFrontend::Exchange final : public CallUser {
  public:
-  Exchange(Front& front, ClientPtr client, std::string tenant, net::Time due, std::uint64_t body)
-      : front_(front),
+  Exchange(HttpFrontend& frontend, ClientPtr client, std::string tenant, net::Time deadline,
+           std::uint64_t body)
+      : frontend_(frontend),
         client_(std::move(client)),
         tenant_(std::move(tenant)),
-        due_(due),
-        body_(body) {
-    front_.called_bodies_ += body_;
+        deadline_(deadline),
+        body_size_(body) {
+    frontend_.call_body_bytes_ += body_size_;
   }
-  ~Exchange() { front_.called_bodies_ -= body_; }
+  ~Exchange() { frontend_.call_body_bytes_ -= body_size_; }
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
 
-  // False: its client has gone meanwhile.
+  // Starts the call. Returns false if the client has disconnected meanwhile.
   bool Start(CallRequest request) {
-    client_->OnGone([this] { Gone(); });
+    client_->OnGone([this] { OnClientGone(); });
     started_ = false;
-    call_ = front_.wiring_.calls.Start(std::move(request), *this);
+    call_ = frontend_.wiring_.calls.Start(std::move(request), *this);
     started_ = true;
-    if (gone_) front_.wiring_.calls.Cancel(call_);
-    return !gone_;
+    if (client_gone_) frontend_.wiring_.calls.Cancel(call_);
+    return !client_gone_;
   }
 
  private:
-  void Gone() {
-    gone_ = true;
+  void OnClientGone() {
+    client_gone_ = true;
     if (!started_) return;
-    front_.wiring_.calls.Cancel(call_);
-    front_.Ended(this);
+    frontend_.wiring_.calls.Cancel(call_);
+    frontend_.RemoveExchange(this);
   }
 
-  // Nothing is sent for a client that has left, also if this process stood still meanwhile and its
-  // end has not been read. Finding that out ends this exchange.
+  // Returns false if the client has disconnected, even if the process was suspended and has not
+  // read the close of the connection yet. Detecting the close destroys this exchange.
   bool MaySend() override {
     const ClientPtr client = client_;
     return !client->HasLeft();
   }
 
   void OnHead(int status, const HeaderList& headers, std::optional<std::uint64_t> length) override {
-    client_->Begin(HeadOf(status, headers), length, [this] { front_.wiring_.calls.Resume(call_); });
+    client_->Begin(ResponseHeadOf(status, headers), length,
+                   [this] { frontend_.wiring_.calls.Resume(call_); });
   }
 
   bool OnBody(std::string_view bytes) override {
-    if (!std::exchange(counted_, true)) CountUse();
-    const ClientPtr client = client_;  // Its end would end this.
+    if (!std::exchange(usage_counted_, true)) CountUsage();
+    const ClientPtr client = client_;  // This exchange may be destroyed during Part.
     return client->Part(bytes);
   }
 
@@ -141,74 +143,76 @@
 
   void OnEnd(const CallSummary& summary) override {
     const ClientPtr client = client_;
-    const net::Time due = due_;
-    Front& front = front_;
-    front.Ended(this);
+    const net::Time deadline = deadline_;
+    HttpFrontend& frontend = frontend_;
+    frontend.RemoveExchange(this);
     switch (summary.end) {
       case CallEnd::kComplete:
         return client->EndBody();
       case CallEnd::kBroken:
         return client->Break();
       case CallEnd::kRefused:
-        return client->Respond(Refusal(summary.retry_after_s));
+        return client->Respond(UnavailableResponse(summary.retry_after_s));
       case CallEnd::kFailed:
         break;
     }
-    const bool late = front.loop_.Now() >= due;
-    client->RespondPlain(late ? 504 : 502, late ? "no answer in time\n" : "no usable answer\n");
+    const bool timed_out = frontend.loop_.Now() >= deadline;
+    client->RespondPlain(timed_out ? 504 : 502,
+                         timed_out ? "no answer in time\n" : "no usable answer\n");
   }
 
-  void CountUse() {
-    if (!tenant_.empty() && front_.wiring_.count_use) front_.wiring_.count_use(tenant_);
+  void CountUsage() {
+    if (!tenant_.empty() && frontend_.wiring_.count_usage) frontend_.wiring_.count_usage(tenant_);
   }
 
-  Front& front_;
+  HttpFrontend& frontend_;
   ClientPtr client_;
   std::string tenant_;
-  net::Time due_;
-  std::uint64_t body_;  // Its bytes.
+  net::Time deadline_;
+  std::uint64_t body_size_;  // Bytes of the request's body.
   policy::CallId call_ = 0;
-  bool counted_ = false;
+  bool usage_counted_ = false;
   bool started_ = false;
-  bool gone_ = false;
+  bool client_gone_ = false;
 };
 
-Front::Front(net::Loop& loop, kelpspring::Log& log, net::ListenerPtr listener,
-             kelpspring::SocketBudget& budget, const kelpspring::Drain& drain, Wiring wiring,
-             milliseconds grace, std::uint64_t memory)
+HttpFrontend::HttpFrontend(net::Loop& loop, kelpspring::Log& log, net::ListenerPtr listener,
+                           kelpspring::SocketBudget& budget, const kelpspring::Drain& drain,
+                           Wiring wiring, milliseconds grace, std::uint64_t memory)
     : loop_(loop),
       wiring_(std::move(wiring)),
       grace_(grace),
-      most_bodies_(memory / 4),
+      max_body_bytes_(memory / 4),
       server_(
           loop, log, std::move(listener), budget, drain, [] { return true; },
-          // A body is taken whole, up to the limit, before anything is decided; one that would not
-          // fit into memory comes as a part and is refused.
+          // A body is read completely, up to the limit, before the request is handled. A body that
+          // does not fit into memory is passed on incomplete and refused.
           [this] {
-            const bool room = server_.body_bytes() + called_bodies_ < most_bodies_;
-            return room ? UINT64_MAX : kelpspring::kHeldBody;
+            const bool fits = server_.body_bytes() + call_body_bytes_ < max_body_bytes_;
+            return fits ? UINT64_MAX : kelpspring::kHeldBody;
           },
           [this](const ClientPtr& client, HttpRequest request, kelpspring::Arrival arrival) {
-            if (!arrival.whole) return client->Respond(Refusal(kNoRoomRetryAfter));
+            if (!arrival.whole) return client->Respond(UnavailableResponse(kNoMemoryRetryAfterS));
             OnRequest(client, std::move(request), arrival.began);
           },
-          TermsOf(LimitsBeforeConfiguration(), grace)) {
+          TermsOf(InitialLimits(), grace)) {
   server_.Open();
 }
 
-Front::~Front() = default;
+HttpFrontend::~HttpFrontend() = default;
 
-void Front::SetConfiguration(std::shared_ptr<const Configuration> configuration) {
+void HttpFrontend::SetConfiguration(std::shared_ptr<const Configuration> configuration) {
   configuration_ = std::move(configuration);
   if (!configuration_) return;
-  levels_ = Levels(*configuration_);
+  levels_ = PriorityLevels(*configuration_);
   kelpspring::ServerTerms terms = TermsOf(configuration_->limits, grace_);
-  terms.longest_arrival = [this](const auto& head) { return LongestArrival(head); };
+  terms.longest_arrival = [this](const auto& head) { return MaxArrivalTime(head); };
   server_.SetTerms(std::move(terms));
 }
 
-// A request whose body is still coming when its route's time is over is answered then.
-std::optional<milliseconds> Front::LongestArrival(
+// A request whose body is still being received when its route's timeout expires gets its response
+// then.
+std::optional<milliseconds> HttpFrontend::MaxArrivalTime(
     const http::request_header<http::fields>& head) const {
   const kelpspring::Target target = kelpspring::Split(View(head.target()));
   const std::string_view host =
@@ -218,11 +222,11 @@
   return route->timeout;
 }
 
-// The exchange exists no more after this.
-void Front::Ended(Exchange* exchange) { exchanges_.erase(exchange); }
+// Destroys the exchange.
+void HttpFrontend::RemoveExchange(Exchange* exchange) { exchanges_.erase(exchange); }
 
-// Jobs are read and ended by paths of their own, under the host of a batch route.
-const Route* Front::BatchRouteOf(std::string_view host, std::string_view path) const {
+// Jobs are read and ended under their own paths on the host of a batch route.
+const Route* HttpFrontend::BatchRouteOf(std::string_view host, std::string_view path) const {
   if (!IsBatchJobPath(path)) return nullptr;
   for (const Route& route : configuration_->routes) {
     if (route.kind == RouteKind::kBatch &&
@@ -233,8 +237,8 @@
   return nullptr;
 }
 
-void Front::OnRequest(const ClientPtr& client, HttpRequest request, net::Time began) {
-  if (!configuration_) return client->Respond(Refusal(kNotReadyRetryAfter));
+void HttpFrontend::OnRequest(const ClientPtr& client, HttpRequest request, net::Time began) {
+  if (!configuration_) return client->Respond(UnavailableResponse(kNotReadyRetryAfterS));
   const kelpspring::Target target = kelpspring::Split(View(request.target()));
   const std::string_view path = kelpspring::PathOf(target.origin);
   if (request.count(http::field::host) != 1 || path.empty() || path.front() != '/') {
@@ -255,14 +259,14 @@
   if (route->kind != RouteKind::kBatch) {
     return StartCall(client, std::move(request), *route, tenant, began);
   }
-  if (wiring_.batch == nullptr) return client->Respond(Refusal(kNotReadyRetryAfter));
+  if (wiring_.batch == nullptr) return client->Respond(UnavailableResponse(kNotReadyRetryAfterS));
   const BatchCaller caller{configuration_, route, tenant == nullptr ? "" : tenant->name,
                            loop_.Now()};
-  AnswerBatchRequest(client, std::move(request), caller, *wiring_.batch);
+  HandleBatchRequest(client, std::move(request), caller, *wiring_.batch);
 }
 
-void Front::StartCall(const ClientPtr& client, HttpRequest request, const Route& route,
-                      const Tenant* tenant, net::Time began) {
+void HttpFrontend::StartCall(const ClientPtr& client, HttpRequest request, const Route& route,
+                             const Tenant* tenant, net::Time began) {
   if (request.count(kRequestIdHeader) != 1 || request[kRequestIdHeader].empty()) {
     return client->RespondPlain(400, "Shelflink-Request-Id: expected once\n");
   }
@@ -278,23 +282,24 @@
   call.configuration = configuration_;
   call.route = &route;
   if (tenant != nullptr) call.tenant = tenant->name;
-  const bool ranked = tenant != nullptr && tenant->priority;
-  call.level = levels_.Of(ranked ? *tenant->priority : route.priority);
+  const bool has_tenant_priority = tenant != nullptr && tenant->priority;
+  call.level = levels_.LevelOf(has_tenant_priority ? *tenant->priority : route.priority);
   call.resumable = route.kind == RouteKind::kStreaming && route.resumable;
-  // All spans count from the request's first byte: its body may have come slowly.
-  call.began = began;
-  net::Time due = began + route.timeout;
-  if (const auto wait = ClientWait(request)) {
-    call.due = began + *wait;
-    due = std::min(due, *call.due);
+  // All times count from the request's first byte: its body may have been received slowly.
+  call.timeout_start = began;
+  net::Time deadline = began + route.timeout;
+  if (const auto wait = ClientTimeout(request)) {
+    call.deadline = began + *wait;
+    deadline = std::min(deadline, *call.deadline);
   }
   if (call.resumable) {
-    call.last_event_id = WholeNumber(View(request[kLastEventIdHeader]));
+    call.last_event_id = ParseUnsigned(View(request[kLastEventIdHeader]));
   }
-  auto exchange = std::make_unique<Exchange>(*this, client, call.tenant, due, call.body.size());
-  Exchange& started = *exchange;
-  exchanges_.emplace(&started, std::move(exchange));
-  if (!started.Start(std::move(call))) Ended(&started);
+  auto exchange =
+      std::make_unique<Exchange>(*this, client, call.tenant, deadline, call.body.size());
+  Exchange& added = *exchange;
+  exchanges_.emplace(&added, std::move(exchange));
+  if (!added.Start(std::move(call))) RemoveExchange(&added);
 }
 
 }  // namespace shelflink::proxy
--- a/tests/tier/policy/policy_parts_test.cpp
+++ b/tests/tier/policy/policy_parts_test.cpp
@@ -208,48 +208,48 @@
 
 struct OneHealth {
   bool Note(bool failed, Micros now, bool ejection_limit_reached = false) {
-    usual_failure.Note(failed);
+    baseline_failure_rate.Note(failed);
     return health.Note(
-        failed, usual_failure, [&] { return ejection_limit_reached; }, 1, now);
+        failed, baseline_failure_rate, [&] { return ejection_limit_reached; }, 1, now);
   }
   // Records failures until the endpoint is ejected.
   void Fail(Micros now) {
     for (int i = 0; i < 20 && !health.ejected(); ++i) Note(true, now);
   }
-  gaugecart::UsualFailure usual_failure;
+  gaugecart::BaselineFailureRate baseline_failure_rate;
   gaugecart::Health health;
 };
 
 BOOST_FIXTURE_TEST_CASE(is_ejected_for_a_growing_time_and_restored_by_one_success, OneHealth) {
   Fail(0);
   BOOST_TEST(health.ejected());
-  const Micros first = health.Left(0);
-  BOOST_TEST(health.Avoided(first - 1));
-  BOOST_TEST(!health.Avoided(first));
+  const Micros first = health.RemainingEjection(0);
+  BOOST_TEST(health.ShouldAvoid(first - 1));
+  BOOST_TEST(!health.ShouldAvoid(first));
   health.StartTrial();
-  BOOST_TEST(health.Avoided(first));  // One trial at a time.
+  BOOST_TEST(health.ShouldAvoid(first));  // One trial at a time.
   Note(true, first);
-  BOOST_TEST(health.Left(first) > first);
-  const Micros second = first + health.Left(first);
+  BOOST_TEST(health.RemainingEjection(first) > first);
+  const Micros second = first + health.RemainingEjection(first);
   health.StartTrial();
   BOOST_TEST(Note(false, second));
   BOOST_TEST(!health.ejected());
-  BOOST_TEST(!health.Avoided(second));
+  BOOST_TEST(!health.ShouldAvoid(second));
 }
 
 BOOST_FIXTURE_TEST_CASE(an_inconclusive_trial_allows_another, OneHealth) {
   Fail(0);
-  const Micros later = health.Left(0);
+  const Micros later = health.RemainingEjection(0);
   health.StartTrial();
   health.EndTrial();
-  BOOST_TEST(!health.Avoided(later));
+  BOOST_TEST(!health.ShouldAvoid(later));
 }
 
 BOOST_FIXTURE_TEST_CASE(is_not_ejected_when_all_fail_or_the_ejection_limit_is_reached, OneHealth) {
   for (int i = 0; i < 20; ++i) Note(true, 0, true);
   BOOST_TEST(!health.ejected());
   OneHealth other;
-  for (int i = 0; i < 200; ++i) other.usual_failure.Note(true);
+  for (int i = 0; i < 200; ++i) other.baseline_failure_rate.Note(true);
   for (int i = 0; i < 20; ++i) other.Note(true, 0);
   BOOST_TEST(!other.health.ejected());
 }
@@ -341,11 +341,11 @@
   SetEndpoints(10, 0);
   const std::set<std::string> before = Ids(0);
   Endpoint& failing = endpoints.at(*before.begin());
-  gaugecart::UsualFailure usual_failure;
+  gaugecart::BaselineFailureRate baseline_failure_rate;
   for (int i = 0; i < 5; ++i) {
-    usual_failure.Note(false);
+    baseline_failure_rate.Note(false);
     failing.health().Note(
-        true, usual_failure, [] { return false; }, 1, 0);
+        true, baseline_failure_rate, [] { return false; }, 1, 0);
   }
   BOOST_TEST(failing.health().ejected());
   subset.Invalidate();
@@ -437,12 +437,12 @@
   const double before = levels.limit();
   BOOST_TEST(before > 50.0);
   for (int i = 0; i < 20; ++i) levels.NoteFirstEvent(i * kMs, 0, 500 * kMs, 300 * kMs);
-  const double low = levels.limit();
-  BOOST_TEST(low < 0.9 * before);
+  const double lowered = levels.limit();
+  BOOST_TEST(lowered < 0.9 * before);
   for (int i = 0; i < 40; ++i) levels.NoteOverload(0);
-  BOOST_TEST(levels.limit() < low);
+  BOOST_TEST(levels.limit() < lowered);
   for (int i = 0; i < 400; ++i) levels.NoteFirstEvent(i * kMs, 0, 30 * kMs, 300 * kMs);
-  BOOST_TEST(levels.limit() > low);
+  BOOST_TEST(levels.limit() > lowered);
 }
 
 BOOST_AUTO_TEST_CASE(the_last_level_is_batch_also_after_the_count_is_reduced) {
