--- a/src/tier/policy/module.cpp
+++ b/src/tier/policy/module.cpp
@@ -36,7 +36,7 @@
 // Objectives, for batch calls, which endpoints delay in favour of live ones.
 constexpr double kBatchFirstEventTimeout = 5.0;
 
-constexpr double kMinRetryTime = 0.1;  // Objectives that must be left before the deadline.
+constexpr double kRetryTime = 0.1;  // Objectives that must be left before the deadline.
 // Retry-after advice of a refused call: a minimum plus a random spread, both in objectives, but at
 // most this fraction of the time to its deadline.
 constexpr double kRetryAfterMin = 0.5;
@@ -168,8 +168,7 @@
     const Attempt* attempt = AttemptInFlight(pending, number);
     if (attempt == nullptr || !pending->call.repeatable) return false;
     if (!HasAttemptsLeft(*pending, now) || !retry_budget_.Has()) return false;
-    if (pending->call.deadline - now < Scale(kMinRetryTime, ObjectiveOf(pending->call)))
-      return false;
+    if (pending->call.deadline - now < Scale(kRetryTime, ObjectiveOf(pending->call))) return false;
     Service& service = services_.At(pending->call.service);
     return Picker::HasAlternative(now, *pending, CandidatesFor(now, *pending, service),
                                   *attempt->endpoint);
@@ -337,8 +336,7 @@
 
   bool Retry(PendingCall& pending, Outcome outcome) {
     if (!MaySendAgain(pending, now_)) return false;
-    if (pending.call.deadline - now_ < Scale(kMinRetryTime, ObjectiveOf(pending.call)))
-      return false;
+    if (pending.call.deadline - now_ < Scale(kRetryTime, ObjectiveOf(pending.call))) return false;
     // An attempt that reached no endpoint caused no work there and needs no retry token.
     const bool uses_budget = CountsAsSend(outcome);
     if (uses_budget && !retry_budget_.Has() && !Mutated(Mutant::kNoRetryBudget)) return false;
