--- a/src/tier/policy/picker.h
+++ b/src/tier/policy/picker.h
@@ -1,5 +1,6 @@
-// Which member of a service's subset a call goes to: the one at which it costs least, where cost is
-// the expected time to the first event, weighed up by what else the call would do there.
+// Chooses the member of a service's subset for a call: the one with the lowest cost. The cost is
+// the predicted time to the first event, plus penalties for load, memory, connections, zone and
+// prompt length, scaled by the endpoint's latency ratio, failure rate and warm-up.
 #ifndef SHELFLINK_TIER_POLICY_PICKER_H_
 #define SHELFLINK_TIER_POLICY_PICKER_H_
 
@@ -7,68 +8,71 @@
 #include <optional>
 #include <vector>
 
-#include "tier/policy/batch_start.h"
-#include "tier/policy/call.h"
+#include "tier/policy/batch_start_delay.h"
 #include "tier/policy/endpoint.h"
 #include "tier/policy/first_event_model.h"
-#include "tier/policy/long_prompts.h"
+#include "tier/policy/long_prompt_pool.h"
 #include "tier/policy/module.h"
+#include "tier/policy/pending_call.h"
 
 namespace shelflink::policy {
 
-// The last shared part of a prompt: what its requests are kept together by. None without parts.
+// The id of the last shared part of a prompt, the key for prefix affinity. None without parts.
 std::optional<std::uint64_t> PrefixOf(const Call& call);
-// The span that costs are measured by where a route tells no objective.
+// The call's time objective, or a default derived from its timeout. Costs are measured in it.
 Micros ObjectiveOf(const Call& call);
 
-// What all endpoints of a service have in common.
-struct ServiceFacts {
-  std::uint64_t kv_tokens = 0;     // Memory of each endpoint; 0: no model engine.
-  double connections_share = 0.0;  // Of each endpoint's connections for this sidecar; 0: not told.
-  double usual_prompt = 0.0;       // Tokens of a call's prompt, and of all of it.
-  double usual_memory = 0.0;
-  Micros shortest_objective = kNever;  // Of the live calls that have come.
-  BatchStart batch_start;
+// Properties and statistics that all endpoints of a service share.
+struct ServiceStats {
+  std::uint64_t kv_tokens = 0;         // KV cache of each endpoint; 0: not a model engine.
+  double connection_share = 0.0;       // This sidecar's, of each endpoint; 0: not known.
+  double mean_prompt_tokens = 0.0;     // Of a call's prompt; moving average.
+  double mean_kv_tokens = 0.0;         // Of a call's prompt and output; moving average.
+  Micros shortest_objective = kNever;  // Of the live calls so far.
+  BatchStartDelay batch_start_delay;
   FirstEventModel first_event;
-  LongPrompts long_prompts;
+  LongPromptPool long_prompt_pool;
 };
 
 struct Choice {
-  Endpoint* endpoint = nullptr;  // Null: none may be sent to now.
-  // Only for the slots that are left to more urgent levels: it may be otherwise in a moment.
-  bool crowded = false;
+  Endpoint* endpoint = nullptr;  // Null: no endpoint may be used now.
+  // No endpoint was chosen only because the free slots are reserved for more urgent levels; this
+  // may change soon.
+  bool only_reserved_slots = false;
 };
 
 class Picker {
  public:
   explicit Picker(std::string zone = {}) : zone_(std::move(zone)) {}
 
-  Choice Pick(Micros now, const HeldCall& held, const std::vector<Endpoint*>& members,
-              const ServiceFacts& facts);
+  // `members` are the endpoints to choose from.
+  Choice Pick(Micros now, const PendingCall& pending, const std::vector<Endpoint*>& members,
+              const ServiceStats& stats);
 
-  // Whether another endpoint than this one would take the call now.
-  static bool HasOther(Micros now, const HeldCall& held, const std::vector<Endpoint*>& members,
-                       const Endpoint& present);
+  // Whether an endpoint other than `current` could take the call now.
+  static bool HasAlternative(Micros now, const PendingCall& pending,
+                             const std::vector<Endpoint*>& members, const Endpoint& current);
 
-  // Prompt tokens that the endpoint would have to read.
-  static std::uint64_t ReadTokens(const Call& call, const Endpoint& endpoint);
-  // Time that an endpoint takes to read what of the prompt no other call shares.
-  static double OwnReading(const Call& call, const ServiceFacts& facts);
+  // Prompt tokens that the endpoint would have to prefill.
+  static std::uint64_t UncachedTokens(const Call& call, const Endpoint& endpoint);
+  // Predicted microseconds to prefill the part of the prompt that no other call shares.
+  static double UnsharedPrefillTime(const Call& call, const ServiceStats& stats);
 
  private:
-  // The lower, the better, before any cost counts.
-  enum class Standing { kSound, kResting, kTried, kSilent, kEjected };
-  static Standing StandingOf(Micros now, const HeldCall& held, const Endpoint& endpoint);
-  // Of a call's prompt, where that matters for the endpoint.
-  enum class Length { kAny, kShort, kLong };
-  static Length LengthOf(const Call& call, const ServiceFacts& facts);
-  const Endpoint* OwnerOf(Micros now, const Call& call, const std::vector<Endpoint*>& members,
-                          const ServiceFacts& facts, Length length) const;
-  // Whether it is one of the endpoints that are for long prompts where the call's is short, or the
-  // other way round.
-  static bool IsMixed(Length length, const Endpoint& endpoint, const ServiceFacts& facts);
+  // Best first; compared before the cost.
+  enum class Availability { kHealthy, kBackingOff, kTried, kUnresponsive, kEjected };
+  static Availability AvailabilityOf(Micros now, const PendingCall& pending,
+                                     const Endpoint& endpoint);
+  // Prompt length for the choice of the endpoint; kAny where it does not matter.
+  enum class PromptLength { kAny, kShort, kLong };
+  static PromptLength PromptLengthOf(const Call& call, const ServiceStats& stats);
+  const Endpoint* PrefixOwner(Micros now, const Call& call, const std::vector<Endpoint*>& members,
+                              const ServiceStats& stats, PromptLength length) const;
+  // Whether a short prompt would go to an endpoint of the long-prompt pool, or a long prompt to
+  // another one.
+  static bool IsMismatch(PromptLength length, const Endpoint& endpoint, const ServiceStats& stats);
   double Cost(Micros now, const Call& call, const Endpoint& endpoint, bool owner,
-              const ServiceFacts& facts, Length length) const;
+              const ServiceStats& stats, PromptLength length) const;
 
   std::string zone_;
   std::size_t cursor_ = 0;
--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -86,7 +86,7 @@
   call.level = request.level;
   call.flow = HashOf(request.tenant.empty() ? route.name : request.tenant);
   call.service = active.service;
-  if (!request.batch || request.deadline) call.due = SteadyMicros(active.deadline);
+  if (!request.batch || request.deadline) call.deadline = SteadyMicros(active.deadline);
   call.timeout = std::chrono::duration_cast<std::chrono::microseconds>(route.timeout).count();
   call.objective = std::chrono::duration_cast<std::chrono::microseconds>(route.slo).count();
   call.max_attempts = active.max_attempts();
@@ -329,7 +329,7 @@
   log_.Line("event stream has a gap or an oversized event; closing the response");
   active->attempt_active = false;
   upstream_.Cancel(key);
-  ReportOutcome(key, Outcome::kCut, false);
+  ReportOutcome(key, Outcome::kTruncated, false);
   Finish(active, CallEnd::kBroken);
   return false;
 }
@@ -377,7 +377,7 @@
 // Whether another endpoint would accept the call immediately if its current attempt was given up.
 bool EndpointCalls::CanFailOver(const ActiveCall& active, AttemptKey key) const {
   return active.MayFailOver() && active.sends < ActiveCall::kMaxSends &&
-         active.CanResumeElsewhere() && module_.CanMove(Now(), key.first, key.second);
+         active.CanResumeElsewhere() && module_.CanRetryElsewhere(Now(), key.first, key.second);
 }
 
 // Ends an attempt that may have been executed without a complete response.
@@ -385,7 +385,7 @@
   active->attempt_active = false;
   ++active->possible_runs;
   const bool retry = active->MayRetry(loop_.Now());
-  if (active->streaming && active->events.events() > 0) outcome = Outcome::kCut;
+  if (active->streaming && active->events.events() > 0) outcome = Outcome::kTruncated;
   if (retry) active->events.BeginResumedRun();
   ReportOutcome(key, outcome, retry);
   if (!retry) Finish(active, CallEnd::kFailed);
--- a/src/tier/proxy/endpoint_calls.h
+++ b/src/tier/proxy/endpoint_calls.h
@@ -2,7 +2,7 @@
 //
 // The module decides where each attempt of a call is sent. EndpointCalls sends it, reports the
 // outcome to the module, and combines the attempts of a call into one response. A call has at most
-// one attempt at a time. Limits: Shape::most_held calls (the module refuses more),
+// one attempt at a time. Limits: ModuleConfig::max_calls calls (the module refuses more),
 // ActiveCall::kMaxSends sends per call, kMaxBufferedResponseBytes of a response that is buffered
 // completely, EventStream::kMaxEventBytes per event.
 #ifndef SHELFLINK_TIER_PROXY_ENDPOINT_CALLS_H_
--- a/src/tier/proxy/policy_feed.cpp
+++ b/src/tier/proxy/policy_feed.cpp
@@ -32,15 +32,15 @@
 
 bool PolicyFeed::UpdateShape(policy::Micros now, const cluster::View& view) {
   if (view.configuration) levels_ = PriorityLevels(*view.configuration);
-  policy::Shape shape;
+  policy::ModuleConfig shape;
   shape.node = options_.node;
   shape.zone = options_.zone;
   shape.levels = levels_.count();
-  shape.most_held = options_.max_calls;
+  shape.max_calls = options_.max_calls;
   std::vector<policy::BatchOwners::Sidecar> ready;
   if (view.members) ready = ReadyProxies(*view.members);
   shape.sidecars = static_cast<std::uint32_t>(std::max<std::size_t>(1, ready.size()));
-  module_.OnShape(now, shape);
+  module_.OnConfig(now, shape);
   // A proxy that knows no member does not assume that it is the only one: after a power loss many
   // proxies start in this state, and each of them would send batch calls to every endpoint.
   return batch_owners_.SetSidecars(std::move(ready));
@@ -51,13 +51,13 @@
   for (auto it = known_services_.begin(); it != known_services_.end();) {
     const auto current = it++;
     if (services.contains(*current)) continue;
-    module_.OnServiceGone(now, *current);
+    module_.OnServiceRemoved(now, *current);
     known_services_.erase(current);
   }
   for (auto& [name, info] : services) {
     known_services_.insert(name);
     for (policy::EndpointInfo& endpoint : info.endpoints) {
-      endpoint.runs_batch = batch_owners_.Owns(options_.node, endpoint.id, endpoint.zone);
+      endpoint.owned_for_batch = batch_owners_.Owns(options_.node, endpoint.id, endpoint.zone);
     }
     module_.OnService(now, info);
   }
--- a/tests/tier/policy/policy_mutants_test.cpp
+++ b/tests/tier/policy/policy_mutants_test.cpp
@@ -1,5 +1,5 @@
-// A test that never fails proves nothing: for each fault compiled into the decision module a
-// scenario finds it out.
+// Mutation test: for each fault compiled into the decision module, a scenario must fail for at
+// least one of 60 seeds.
 #define BOOST_TEST_MODULE tier_policy_mutants
 #include <algorithm>
 #include <boost/test/data/monomorphic.hpp>
@@ -23,39 +23,40 @@
 namespace {
 
 const Case kCases[] = {
-    {"lend pools", Mutant::kLendPools, PoolsKeepApart},
-    {"one flow", Mutant::kOneFlow, FairTenants},
-    {"wait long", Mutant::kWaitLong, StuckSeats},
-    {"repeat anything", Mutant::kRepeatAnything, Lawful},
-    {"refuse failures", Mutant::kRefuseFailures, Lawful},
-    {"many attempts", Mutant::kManyAttempts, Lawful},
-    {"ask again", Mutant::kAskAgain, Lawful},
-    {"deaf to drains", Mutant::kDeafToDrains, Lawful},
-    {"trust silence", Mutant::kTrustSilence, DarkOwner},
+    {"shared pools", Mutant::kSharedPools, PoolLimits},
+    {"single flow", Mutant::kSingleFlow, TenantFairness},
+    {"unbounded wait", Mutant::kUnboundedWait, HungCallsFillPool},
+    {"retry non-repeatable", Mutant::kRetryNonRepeatable, RandomEvents},
+    {"refuse failures", Mutant::kRefuseFailures, RandomEvents},
+    {"extra attempts", Mutant::kExtraAttempts, RandomEvents},
+    {"retry rejecting endpoint", Mutant::kRetryRejectingEndpoint, RandomEvents},
+    {"ignore draining", Mutant::kIgnoreDraining, RandomEvents},
+    {"ignore silence", Mutant::kIgnoreSilence, UnresponsivePrefixOwner},
     {"never eject", Mutant::kNeverEject, OneFailing},
-    {"ignore pace", Mutant::kIgnorePace, OneSlow},
+    {"ignore latency ratio", Mutant::kIgnoreLatencyRatio, OneSlow},
     {"ignore load", Mutant::kIgnoreLoad, LongAnswers},
-    {"ignore prefix", Mutant::kIgnorePrefix, Stickiness},
-    {"no retry budget", Mutant::kNoRetryBudget, AllFull},
-    {"no panic", Mutant::kNoPanic, AllDark},
-    {"batch unbounded", Mutant::kBatchUnbounded, BatchYields},
-    {"fill last slots", Mutant::kFillLastSlots, Isolation},
-    {"starve others", Mutant::kStarveOthers, NobodyStarves},
-    {"subset stays", Mutant::kSubsetStays, SubsetGrows},
+    {"ignore prefix", Mutant::kIgnorePrefix, PrefixAffinity},
+    {"no retry budget", Mutant::kNoRetryBudget, AllRejecting},
+    {"no panic", Mutant::kNoPanic, AllUnresponsive},
+    {"unbounded batch", Mutant::kUnboundedBatch, BatchBesideLive},
+    {"use reserved slots", Mutant::kUseReservedSlots, LevelIsolation},
+    {"starve lower levels", Mutant::kStarveLowerLevels, NoStarvation},
+    {"fixed subset", Mutant::kFixedSubset, SubsetGrowth},
 };
 
-struct Active {
-  explicit Active(Mutant mutant) { active_mutant = mutant; }
-  ~Active() { active_mutant = Mutant::kNone; }
-  Active(const Active&) = delete;
-  Active& operator=(const Active&) = delete;
+// Activates a mutant for its lifetime.
+struct ActiveMutant {
+  explicit ActiveMutant(Mutant mutant) { active_mutant = mutant; }
+  ~ActiveMutant() { active_mutant = Mutant::kNone; }
+  ActiveMutant(const ActiveMutant&) = delete;
+  ActiveMutant& operator=(const ActiveMutant&) = delete;
 };
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(is_found_within_sixty_seeds, boost::unit_test::data::make(kCases), tested) {
+BOOST_DATA_TEST_CASE(is_detected_within_sixty_seeds, boost::unit_test::data::make(kCases), tested) {
   constexpr std::uint64_t kSeeds = 60;
-  const Active active(tested.mutant);
+  const ActiveMutant active(tested.mutant);
   std::uint64_t seed = 1;
   while (seed <= kSeeds && tested.scenario(seed).empty()) ++seed;
   BOOST_TEST(seed <= kSeeds);
