--- a/tests/tier/proxy/endpoint_test.cpp
+++ b/tests/tier/proxy/endpoint_test.cpp
@@ -243,9 +243,9 @@
   const auto behaviour = [&](Connection& connection, const Message& request) {
     if (request.Value("Shelflink-Request-Id") != "slow")
       return RespondWith("x")(connection, request);
-    const Message kept = request;
-    fixture.endpoints[0]->RunAfter(milliseconds(2200), [&connection, kept] {
-      connection.Write(Endpoint::Response(kept, "slow"));
+    const Message original = request;
+    fixture.endpoints[0]->RunAfter(milliseconds(2200), [&connection, original] {
+      connection.Write(Endpoint::Response(original, "slow"));
     });
   };
   fixture.Add(behaviour);
