--- a/src/tier/proxy/active_call.cpp
+++ b/src/tier/proxy/active_call.cpp
@@ -46,7 +46,7 @@
   return request.batch || request.route->kind == RouteKind::kStreaming;
 }
 
-void ActiveCall::Begin(std::uint32_t number, const std::string& endpoint_id) {
+void ActiveCall::BeginAttempt(std::uint32_t number, const std::string& endpoint_id) {
   attempt = number;
   endpoint = endpoint_id;
   attempt_active = true;
@@ -62,7 +62,7 @@
   return may_run_again && possible_runs + 1 < max_attempts();
 }
 
-void ActiveCall::SetSilences(net::Time now) {
+void ActiveCall::SetSilenceLimits(net::Time now) {
   const Route& route = *request.route;
   if (request.batch) {
     failover_silence = kItemFailoverSilence;
@@ -82,7 +82,7 @@
 }
 
 bool ActiveCall::CanResumeElsewhere() const {
-  return !head_reported || (request.resumable && events.events() > 0 && events.CanResume());
+  return !head_reported || (request.resumable && events.event_count() > 0 && events.CanResume());
 }
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/active_call.h
+++ b/src/tier/proxy/active_call.h
@@ -24,11 +24,11 @@
   int max_attempts() const { return request.max_attempts.value_or(request.route->max_attempts); }
   bool is_stream_route() const;
   // Resets the state of the attempt for attempt `number` at endpoint `endpoint_id`.
-  void Begin(std::uint32_t number, const std::string& endpoint_id);
+  void BeginAttempt(std::uint32_t number, const std::string& endpoint_id);
   // Sets how long the attempt's endpoint may be silent. Silence alone never ends a response to a
   // client: the proxy waits until the end of the call, unless the call could be continued at
   // another endpoint. Batch items wait in their store instead, so their silence is limited.
-  void SetSilences(net::Time now);
+  void SetSilenceLimits(net::Time now);
   // Whether another attempt is allowed after one that the endpoint may have executed.
   bool MayRetry(net::Time now) const;
   // Whether another endpoint could continue the response. One that has started can only be
--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -172,7 +172,7 @@
   const CallPtr active = Find(decision.call);
   if (!active) return;
   const AttemptKey key{decision.call, decision.attempt};
-  active->Begin(decision.attempt, decision.endpoint);
+  active->BeginAttempt(decision.attempt, decision.endpoint);
   active->send_forbidden = IsSendForbidden(*active);
   if (!Find(decision.call)) return;  // Its user has cancelled it in MaySend.
   const KnownEndpoint* known = registry_.Find(decision.endpoint);
@@ -183,11 +183,11 @@
   CheckListFreshness(*active, *known);
   ++active->sends;
   active->message.set(kExpectInstanceHeader, decision.endpoint);
-  if (active->events.events() > 0 && active->events.last_id()) {
+  if (active->events.event_count() > 0 && active->events.last_id()) {
     active->message.set(kLastEventIdHeader, std::to_string(*active->events.last_id()));
   }
   active->last_activity = now;
-  active->SetSilences(now);
+  active->SetSilenceLimits(now);
   const net::Time until = std::min(active->give_up_at, now + active->initial_silence);
   kelpspring::Outbound outbound{active->message, false, std::nullopt, until, {}};
   outbound.silence = active->ongoing_silence;
@@ -199,19 +199,19 @@
   if (FindAttempt(key)) CheckNotDraining(*active);
 }
 
-ListState EndpointCalls::ListStateNow() const {
+ListState EndpointCalls::CurrentListState() const {
   return options_.list_state ? options_.list_state() : ListState::kExcused;
 }
 
 bool EndpointCalls::IsSendForbidden(ActiveCall& active) const {
   if (!active.user->MaySend()) return true;
-  const ListState list = ListStateNow();
+  const ListState list = CurrentListState();
   return active.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);
 }
 
 void EndpointCalls::CheckListFreshness(const ActiveCall& active, const KnownEndpoint& known) const {
   if (!known.takes_requests()) return;  // Upstream rejects the attempt.
-  if (ListStateNow() == ListState::kStale) {
+  if (CurrentListState() == ListState::kStale) {
     ProcessInvariants().Violate(Invariant::kEndpointListIsFresh, "a request to " + active.endpoint,
                                 Now());
   }
@@ -316,10 +316,10 @@
   const EventStream::Output output =
       active->user->WantsEvents() ? active->events.Feed(part, on_event) : active->events.Feed(part);
   if (!FindAttempt(key)) return false;
-  if (output.events > 0) {
+  if (output.event_count > 0) {
     if (!std::exchange(active->first_event_received, true))
       module_.OnFirstEvent(Now(), key.first, key.second);
-    module_.OnProgress(Now(), key.first, key.second, output.events);
+    module_.OnProgress(Now(), key.first, key.second, output.event_count);
     ExecuteDecisions();
   }
   if (!output.bytes.empty()) ReportPendingHead(active);
@@ -385,7 +385,7 @@
   active->attempt_active = false;
   ++active->possible_runs;
   const bool retry = active->MayRetry(loop_.Now());
-  if (active->streaming && active->events.events() > 0) outcome = Outcome::kCut;
+  if (active->streaming && active->events.event_count() > 0) outcome = Outcome::kCut;
   if (retry) active->events.BeginResumedRun();
   ReportOutcome(key, outcome, retry);
   if (!retry) Finish(active, CallEnd::kFailed);
--- a/src/tier/proxy/endpoint_calls.h
+++ b/src/tier/proxy/endpoint_calls.h
@@ -105,7 +105,7 @@
   void ExecuteDecisions();
   void StartAttempt(const Decision& decision);
   bool IsSendForbidden(ActiveCall& active) const;
-  ListState ListStateNow() const;
+  ListState CurrentListState() const;
   void CheckListFreshness(const ActiveCall& active, const KnownEndpoint& known) const;
   void CheckNotDraining(const ActiveCall& active) const;
   void EndAttempt(kelpspring::AttemptKey key, kelpspring::Answer answer);
--- a/src/tier/proxy/event_stream.cpp
+++ b/src/tier/proxy/event_stream.cpp
@@ -80,7 +80,7 @@
     if (*id <= *last_id_) return Verdict::kDuplicate;
     if (ids_consecutive_ && *id != *last_id_ + 1) return Verdict::kGap;
   }
-  if (last_id_ && events_ > 0 && *id != *last_id_ + 1) ids_consecutive_ = false;
+  if (last_id_ && event_count_ > 0 && *id != *last_id_ + 1) ids_consecutive_ = false;
   last_id_ = id;
   return Verdict::kForward;
 }
@@ -113,8 +113,8 @@
     consumed_ += length;
     if (verdict == Verdict::kDuplicate) continue;
     if (has_duplicates) filtered_.append(event);
-    ++output.events;
-    ++events_;
+    ++output.event_count;
+    ++event_count_;
     if (on_event) on_event({id, DataOf(event)});
   }
   output.bytes = has_duplicates ? std::string_view(filtered_) : text.substr(0, consumed_);
@@ -125,7 +125,7 @@
 void EventStream::BeginResumedRun() {
   buffer_.clear();
   consumed_ = 0;
-  resumed_ = events_ > 0;
+  resumed_ = event_count_ > 0;
 }
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/event_stream.h
+++ b/src/tier/proxy/event_stream.h
@@ -21,9 +21,9 @@
   static constexpr std::size_t kMaxEventBytes = 1 << 20;
 
   struct Output {
-    std::string_view bytes;    // Complete events to forward; valid until the next call.
-    std::uint32_t events = 0;  // Number of events in `bytes`.
-    bool broken = false;       // A gap or an oversized event: nothing more may be forwarded.
+    std::string_view bytes;         // Complete events to forward; valid until the next call.
+    std::uint32_t event_count = 0;  // Number of events in `bytes`.
+    bool broken = false;            // A gap or an oversized event: nothing more may be forwarded.
   };
 
   // The stream is expected to start after the event `last_id`.
@@ -38,9 +38,9 @@
   // events of the new run that have already been forwarded will be dropped too.
   void BeginResumedRun();
   // Whether another run could continue the stream without missing or repeated events.
-  bool CanResume() const { return events_ == 0 || all_have_ids_; }
+  bool CanResume() const { return event_count_ == 0 || all_have_ids_; }
   std::optional<std::uint64_t> last_id() const { return last_id_; }
-  std::uint64_t events() const { return events_; }
+  std::uint64_t event_count() const { return event_count_; }
 
  private:
   enum class Verdict { kForward, kDuplicate, kGap };
@@ -53,7 +53,7 @@
   std::size_t consumed_ = 0;
   std::string filtered_;  // Events to forward, if duplicates between them were dropped.
   std::optional<std::uint64_t> last_id_;
-  std::uint64_t events_ = 0;
+  std::uint64_t event_count_ = 0;
   bool all_have_ids_ = true;
   bool ids_consecutive_ = true;
   bool resumed_ = false;  // The current run continues an earlier one.
--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -39,7 +39,7 @@
       BOOST_TEST((forwarded.empty() || forwarded.substr(forwarded.size() - 2) == "\n\n"));
     }
     BOOST_TEST(forwarded == text);
-    BOOST_TEST(stream.events() == 6U);
+    BOOST_TEST(stream.event_count() == 6U);
     BOOST_TEST(stream.last_id().value() == 6U);
     BOOST_TEST(stream.incomplete_event().empty());
   }
