--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -80,7 +80,7 @@
 BOOST_AUTO_TEST_CASE(streams_without_ids_cannot_be_resumed) {
   EventStream stream;
   stream.Feed("data: a\n\n");
-  BOOST_TEST(!stream.CanBeginResumedRun());
+  BOOST_TEST(!stream.CanResume());
 }
 
 BOOST_AUTO_TEST_CASE(an_oversized_event_breaks_the_stream) {
