--- a/tests/tier/proxy/stream_test.cpp
+++ b/tests/tier/proxy/stream_test.cpp
@@ -39,7 +39,7 @@
       BOOST_TEST((forwarded.empty() || forwarded.substr(forwarded.size() - 2) == "\n\n"));
     }
     BOOST_TEST(forwarded == text);
-    BOOST_TEST(stream.events() == 6U);
+    BOOST_TEST(stream.event_count() == 6U);
     BOOST_TEST(stream.last_id().value() == 6U);
     BOOST_TEST(stream.incomplete_event().empty());
   }
@@ -80,7 +80,7 @@
 BOOST_AUTO_TEST_CASE(streams_without_ids_cannot_be_resumed) {
   EventStream stream;
   stream.Feed("data: a\n\n");
-  BOOST_TEST(!stream.CanBeginResumedRun());
+  BOOST_TEST(!stream.CanResume());
 }
 
 BOOST_AUTO_TEST_CASE(an_oversized_event_breaks_the_stream) {
