--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -197,13 +197,13 @@
 }
 
 ListState EndpointCalls::ListStateNow() const {
-  return options_.list_state ? options_.list_state() : ListState::kExcused;
+  return options_.list_state ? options_.list_state() : ListState::kPlatformUnavailable;
 }
 
 bool EndpointCalls::IsForbidden(LiveCall& live) const {
   if (!live.user->MaySend()) return true;
   const ListState list = ListStateNow();
-  return live.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);
+  return live.request.batch ? !AllowsBatchItems(list) : !AllowsRequests(list);
 }
 
 void EndpointCalls::CheckList(const LiveCall& live, const KnownEndpoint& known) const {
--- a/src/tier/proxy/list_fallback.cpp
+++ b/src/tier/proxy/list_fallback.cpp
@@ -69,14 +69,14 @@
 }
 
 ListState ListFallback::State() const {
-  if (!make_platform_) return ListState::kExcused;
+  if (!make_platform_) return ListState::kPlatformUnavailable;
   const net::Time now = loop_.Now();
   if (IsFresh(now)) return ListState::kFresh;
   if (FirstListIsUnchecked(now)) {
-    return PlatformInTrouble(now) ? ListState::kExcused : ListState::kUnchecked;
+    return PlatformInTrouble(now) ? ListState::kPlatformUnavailable : ListState::kUnverified;
   }
-  if (JustBegun(now)) return ListState::kUnrenewed;
-  return PlatformInTrouble(now) ? ListState::kExcused : ListState::kStale;
+  if (JustBegun(now)) return ListState::kResumed;
+  return PlatformInTrouble(now) ? ListState::kPlatformUnavailable : ListState::kStale;
 }
 
 bool ListFallback::IsFresh(net::Time now) const {
--- a/src/tier/proxy/list_state.h
+++ b/src/tier/proxy/list_state.h
@@ -1,4 +1,4 @@
-// How far the list of endpoints that a proxy acts by can be trusted.
+// Freshness of the list of endpoints that a proxy uses, and what it may send while the list is old.
 #ifndef SHELFLINK_TIER_PROXY_LIST_STATE_H_
 #define SHELFLINK_TIER_PROXY_LIST_STATE_H_
 
@@ -6,20 +6,22 @@
 
 namespace shelflink::proxy {
 
+// Every state but kFresh is that of a list older than `drainMs` or of unknown age.
 enum class ListState : std::uint8_t {
-  kFresh,      // Read within `drainMs`.
-  kUnrenewed,  // Older; this process started, or stood still, less than `contactMs` ago.
-  kUnchecked,  // The first list, older or of unknown age; nothing newer was asked for in vain yet.
-  kExcused,    // Older; the platform does not answer in time, or there is none.
-  kStale,      // Older without an excuse.
+  kFresh,    // The reading that the list stands for began at most `drainMs` ago.
+  kResumed,  // This process started, or resumed after a pause, less than `contactMs` ago.
+  // The first list of this process; no attempt to get a newer one has failed yet.
+  kUnverified,
+  kPlatformUnavailable,  // The platform does not answer in time, or none is configured.
+  kStale,                // None of the above: a request sent by it is an invariant violation.
 };
 
-// Whether the process may send requests at all.
-inline bool RequestsMayGo(ListState state) { return state != ListState::kUnchecked; }
+// Whether the process may send any request; for batch items AllowsBatchItems must hold as well.
+inline bool AllowsRequests(ListState state) { return state != ListState::kUnverified; }
 
-// A batch item can wait in its store until a process that stood still has renewed.
-inline bool ItemsMayGo(ListState state) {
-  return RequestsMayGo(state) && state != ListState::kUnrenewed;
+// Batch items can wait in their store until a resumed process has renewed its lease.
+inline bool AllowsBatchItems(ListState state) {
+  return AllowsRequests(state) && state != ListState::kResumed;
 }
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/program.cpp
+++ b/src/tier/proxy/program.cpp
@@ -130,7 +130,7 @@
     Readiness readiness;
     readiness.leaving = !drain.serving();
     readiness.has_configuration = agent.view().configuration != nullptr;
-    readiness.has_endpoints = agent.view().endpoints != nullptr && RequestsMayGo(fallback.State());
+    readiness.has_endpoints = agent.view().endpoints != nullptr && AllowsRequests(fallback.State());
     readiness.had_lease = agent.lease_until() > net::Time();
     readiness.lease_until = agent.lease_until();
     readiness.slack = settings.bounds.contact;
--- a/src/tier/proxy/ready_text.cpp
+++ b/src/tier/proxy/ready_text.cpp
@@ -21,11 +21,11 @@
   switch (state) {
     case ListState::kFresh:
       return "";
-    case ListState::kUnrenewed:
+    case ListState::kResumed:
       return "; the process has just begun, or stood still";
-    case ListState::kUnchecked:
+    case ListState::kUnverified:
       return "; it is the first one, and nothing newer has been read yet";
-    case ListState::kExcused:
+    case ListState::kPlatformUnavailable:
       return "; the platform does not answer in time";
     case ListState::kStale:
       return "; neither the core nor another proxy has a newer one";
@@ -34,11 +34,11 @@
 }
 
 std::string TextOfList(const Readiness& readiness, const ListCondition& list) {
-  if (!readiness.has_endpoints && list.state != ListState::kUnchecked) {
+  if (!readiness.has_endpoints && list.state != ListState::kUnverified) {
     return "no list of endpoints yet\n";
   }
   if (!list.age) {
-    const bool tells_why = list.state == ListState::kUnchecked;
+    const bool tells_why = list.state == ListState::kUnverified;
     return "the list of endpoints is of unknown age" +
            std::string(tells_why ? WhyOld(list.state) : "") + "\n";
   }
--- a/tests/tier/proxy/metrics_test.cpp
+++ b/tests/tier/proxy/metrics_test.cpp
@@ -196,18 +196,18 @@
   BOOST_TEST(ReadyText(Good(), list, 0, kNow) ==
              "ready\nthe list of endpoints is 4.2 s old, 3.0 s are allowed; neither the core nor "
              "another proxy has a newer one\n");
-  list.state = ListState::kExcused;
+  list.state = ListState::kPlatformUnavailable;
   BOOST_TEST(ReadyText(Good(), list, 0, kNow) ==
              "ready\nthe list of endpoints is 4.2 s old, 3.0 s are allowed; the platform does not "
              "answer in time\n");
-  list.state = ListState::kUnrenewed;
+  list.state = ListState::kResumed;
   BOOST_TEST(ReadyText(Good(), list, 0, kNow) ==
              "ready\nthe list of endpoints is 4.2 s old, 3.0 s are allowed; the process has just "
              "begun, or stood still\n");
   list.age.reset();
   BOOST_TEST(ReadyText(Good(), list, 0, kNow) ==
              "ready\nthe list of endpoints is of unknown age\n");
-  list.state = ListState::kUnchecked;
+  list.state = ListState::kUnverified;
   Readiness unchecked = Good();
   unchecked.has_endpoints = false;
   BOOST_TEST(ReadyText(unchecked, list, 0, kNow) ==
--- a/tests/tier/proxy/mutants.cmake
+++ b/tests/tier/proxy/mutants.cmake
@@ -147,13 +147,13 @@
 proxy_mutant(items_go_by_any_list stale_list
   a_send_by_a_stale_list_is_a_violation_and_items_wait_for_a_renewal
   tier/proxy/endpoint_calls.cpp
-  [=[  return live.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);]=]
-  [=[  return !RequestsMayGo(list);]=])
+  [=[  return live.request.batch ? !AllowsBatchItems(list) : !AllowsRequests(list);]=]
+  [=[  return !AllowsRequests(list);]=])
 proxy_mutant(requests_go_by_any_list stale_list
   a_send_by_a_stale_list_is_a_violation_and_items_wait_for_a_renewal
   tier/proxy/endpoint_calls.cpp
-  [=[  return live.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);]=]
-  [=[  return live.request.batch && !ItemsMayGo(list);]=])
+  [=[  return live.request.batch ? !AllowsBatchItems(list) : !AllowsRequests(list);]=]
+  [=[  return live.request.batch && !AllowsBatchItems(list);]=])
 proxy_mutant(a_silent_call_for_the_list_is_waited_for stale_list
   a_drain_binds_soon_after_a_platform_that_was_silent_answers_again
   tier/platform/list_poller.cpp
@@ -174,8 +174,8 @@
 proxy_mutant(a_platform_always_excuses stale_list_excuses
   a_platform_that_answers_is_no_excuse_for_a_proxy_that_reads_too_seldom
   tier/proxy/list_fallback.cpp
-  [=[  return PlatformInTrouble(now) ? ListState::kExcused : ListState::kStale;]=]
-  [=[  return ListState::kExcused;]=])
+  [=[  return PlatformInTrouble(now) ? ListState::kPlatformUnavailable : ListState::kStale;]=]
+  [=[  return ListState::kPlatformUnavailable;]=])
 proxy_mutant(a_first_list_waits_for_the_next_look stale_list_excuses
   a_proxy_whose_first_list_is_old_reads_at_once
   tier/proxy/list_fallback.cpp
--- a/tests/tier/proxy/stale_list_test.cpp
+++ b/tests/tier/proxy/stale_list_test.cpp
@@ -471,19 +471,19 @@
     BOOST_TEST(TakeViolations().size() == 1U);
   }
   for (const auto harmless :
-       {shelflink::proxy::ListState::kFresh, shelflink::proxy::ListState::kExcused}) {
+       {shelflink::proxy::ListState::kFresh, shelflink::proxy::ListState::kPlatformUnavailable}) {
     state = harmless;
     start(true);
     start(false);
     BOOST_TEST(TakeViolations().empty());
   }
   BOOST_TEST(endpoint.requests.size() == 6U);
-  state = shelflink::proxy::ListState::kUnrenewed;
+  state = shelflink::proxy::ListState::kResumed;
   start(true);
   BOOST_TEST(endpoint.requests.size() == 6U);
   start(false);
   BOOST_TEST(endpoint.requests.size() == 7U);
-  state = shelflink::proxy::ListState::kUnchecked;
+  state = shelflink::proxy::ListState::kUnverified;
   start(true);
   start(false);
   BOOST_TEST(endpoint.requests.size() == 7U);
