--- a/src/tier/proxy/list_fallback.cpp
+++ b/src/tier/proxy/list_fallback.cpp
@@ -8,7 +8,7 @@
 #include "tier/cluster/messages.h"
 #include "tier/cluster/view_codec.h"
 #include "tier/foundation/log.h"
-#include "tier/proxy/list_times.h"
+#include "tier/proxy/list_fallback_timing.h"
 
 namespace shelflink::proxy {
 namespace {
@@ -18,19 +18,21 @@
 using std::chrono::milliseconds;
 
 constexpr const char* kModule = "proxy.list";
-constexpr int kCheckPart = 12;  // Between looks at the core, and between fetches.
-// A platform that answers again is read within this part (platform/list_reader.h).
-constexpr int kRecoveryPart = 2;
-// What a proxy answers that has no newer list to give; all other errors count as silence.
+// Intervals and time limits, each a divisor of `drainMs`.
+// Between checks of the core's list, and between calls to other proxies, while it is late.
+constexpr int kCheckDivisor = 12;
+// A platform that answers again is read as a whole within this time (platform/list_reader.h).
+constexpr int kRecoveryDivisor = 2;
+// Error codes of a proxy that has no newer list; any other error counts as no answer.
 constexpr ErrorCode kNothingNewerCode = ErrorCode::kNotFound;
-constexpr ErrorCode kTroubleCode = ErrorCode::kUnavailable;
+constexpr ErrorCode kPlatformFailingCode = ErrorCode::kUnavailable;
 constexpr ErrorCode kNotReadingCode = ErrorCode::kConflict;
 
-ReaderAnswer AnswerOf(const Error& error) {
+ReaderAnswer ReaderAnswerOf(const Error& error) {
   if (error.code == kNothingNewerCode) return ReaderAnswer::kNothingNewer;
-  if (error.code == kTroubleCode) return ReaderAnswer::kTrouble;
+  if (error.code == kPlatformFailingCode) return ReaderAnswer::kPlatformFailing;
   if (error.code == kNotReadingCode) return ReaderAnswer::kNotReading;
-  return ReaderAnswer::kSilent;
+  return ReaderAnswer::kNoAnswer;
 }
 
 milliseconds AgeOf(net::Time read_at, net::Time now) {
@@ -53,91 +55,94 @@
   hub_.HandleCall(cluster::kListReadingKind,
                   [this](const transport::PeerIdentity&, std::string_view body,
                          const transport::Hub::Reply& reply) { reply(AnswerFetch(body)); });
-  if (make_platform_) ArmAt(loop_.Now() + LateAfter());
+  if (make_platform_) ArmAt(loop_.Now() + LateThreshold());
 }
 
 ListFallback::~ListFallback() = default;
 
-// ---- What is known ----
+// ---- The list in use and its state ----
 
 std::shared_ptr<const cluster::EndpointList> ListFallback::list() const {
-  return own_.list() ? own_.list() : agent_.view().endpoints;
+  return local_list_.list() ? local_list_.list() : agent_.view().endpoints;
 }
 
 net::Time ListFallback::read_at() const {
-  return own_.list() ? own_.read_at() : agent_.endpoints_read_at();
+  return local_list_.list() ? local_list_.read_at() : agent_.endpoints_read_at();
 }
 
 ListState ListFallback::State() const {
   if (!make_platform_) return ListState::kPlatformUnavailable;
   const net::Time now = loop_.Now();
   if (IsFresh(now)) return ListState::kFresh;
-  if (FirstListIsUnchecked(now)) {
-    return PlatformInTrouble(now) ? ListState::kPlatformUnavailable : ListState::kUnverified;
+  if (FirstListIsUnverified(now)) {
+    return PlatformIsFailing(now) ? ListState::kPlatformUnavailable : ListState::kUnverified;
   }
-  if (JustBegun(now)) return ListState::kResumed;
-  return PlatformInTrouble(now) ? ListState::kPlatformUnavailable : ListState::kStale;
+  if (RecentlyResumed(now)) return ListState::kResumed;
+  return PlatformIsFailing(now) ? ListState::kPlatformUnavailable : ListState::kStale;
 }
 
 bool ListFallback::IsFresh(net::Time now) const {
   return now <= read_at() + settings_.bounds.drain;
 }
 
-// Has not been in touch throughout `contactMs`: it stands still or did so, or has just started.
-bool ListFallback::JustBegun(net::Time now) const {
+// Whether this process has started or resumed less than `contactMs` ago, so that it cannot have
+// been in touch throughout that time. A timer overdue by more than `thawSlackMs` shows a pause that
+// OnTimer has not recorded yet.
+bool ListFallback::RecentlyResumed(net::Time now) const {
   const bool stands_still = now > timer_due_ + settings_.bounds.thaw_slack;
   return stands_still || now < resumed_at_ + settings_.bounds.contact;
 }
 
-// Drains bind a process from `contactMs` after its start on, whenever its first list comes: a
-// primary may give one that it adopted and that nobody has read for long. A little earlier than
-// that, as the machine began before the process did.
-bool ListFallback::FirstListIsUnchecked(net::Time now) const {
-  const net::Span unbound = settings_.bounds.contact - settings_.bounds.drain / kCheckPart;
-  return !was_fresh_ && now >= resumed_at_ + unbound;
+// A process must honour drains from `contactMs` after its start on, whenever it receives its first
+// list, which may be one that a new primary has adopted and that was read long ago. The check
+// applies a little earlier than that, because the machine started before the process did.
+bool ListFallback::FirstListIsUnverified(net::Time now) const {
+  const net::Span startup_grace = settings_.bounds.contact - settings_.bounds.drain / kCheckDivisor;
+  return !has_been_fresh_ && now >= resumed_at_ + startup_grace;
 }
 
-void ListFallback::NoteFreshness() { was_fresh_ = was_fresh_ || IsFresh(loop_.Now()); }
+void ListFallback::RecordFreshness() { has_been_fresh_ = has_been_fresh_ || IsFresh(loop_.Now()); }
 
-// The time in which a drain must bind does not run then, and there is as much left of it behind as
-// it takes to read the list.
-bool ListFallback::PlatformInTrouble(net::Time now) const {
-  net::Time seen_at = trouble_seen_at_;
+// The time limit of drains is suspended while the platform fails, and for as long afterwards as it
+// takes to read the list.
+bool ListFallback::PlatformIsFailing(net::Time now) const {
+  net::Time seen_at = platform_failed_at_;
   if (poller_) seen_at = std::max(seen_at, poller_->trouble_seen_at());
-  return IsRecentTrouble(seen_at, now);
+  return IsRecentFailure(seen_at, now);
 }
 
-bool ListFallback::IsRecentTrouble(net::Time seen_at, net::Time now) const {
-  return seen_at != net::Time() && now < seen_at + settings_.bounds.drain / kRecoveryPart;
+bool ListFallback::IsRecentFailure(net::Time seen_at, net::Time now) const {
+  return seen_at != net::Time() && now < seen_at + settings_.bounds.drain / kRecoveryDivisor;
 }
 
-// While the core's lists are late, one that comes may be older than what was read here.
+// While the core's lists are late, a list from the core may be older than the local one.
 void ListFallback::OnCoreList() {
-  if (make_platform_ && !has_list_) OnFirstList();
-  NoteFreshness();
-  if (active_ && agent_.endpoints_read_at() <= own_.read_at()) return;
-  own_.Drop();
+  if (make_platform_ && !has_list_) OnFirstCoreList();
+  RecordFreshness();
+  if (active_ && agent_.endpoints_read_at() <= local_list_.read_at()) return;
+  local_list_.Drop();
 }
 
-// It may be old already. Where its age is not known, the core may be about to tell it.
-void ListFallback::OnFirstList() {
+// The first list may already be old, so it is checked at once; if its age is unknown, a little
+// later, since the core may be about to report the age.
+void ListFallback::OnFirstCoreList() {
   has_list_ = true;
   const bool age_known = agent_.endpoints_read_at() != net::Time();
-  ArmAt(loop_.Now() + (age_known ? net::Span() : settings_.bounds.drain / kCheckPart));
+  ArmAt(loop_.Now() + (age_known ? net::Span() : settings_.bounds.drain / kCheckDivisor));
 }
 
-void ListFallback::DropOlderOwnList() {
-  if (own_.DropOlderThan(agent_.endpoints_read_at())) changed_();
+void ListFallback::DropOutdatedLocalList() {
+  if (local_list_.DropIfOlderThan(agent_.endpoints_read_at())) changed_();
 }
 
-// ---- When to read ----
+// ---- When to read or ask ----
 
-net::Span ListFallback::LateAfter() const {
-  return proxy::LateAfter(settings_.bounds.drain, agent_.renewal_interval());
+net::Span ListFallback::LateThreshold() const {
+  return proxy::LateThreshold(settings_.bounds.drain, agent_.renewal_interval());
 }
 
-bool ListFallback::CoreIsFresh(net::Time now) const {
-  return now < agent_.endpoints_read_at() + LateAfter();
+bool ListFallback::CoreListIsFresh(net::Time now) const {
+  return now < agent_.endpoints_read_at() + LateThreshold();
 }
 
 void ListFallback::ArmAt(net::Time due) {
@@ -145,62 +150,66 @@
   timer_->ArmAt(due);
 }
 
-void ListFallback::NoteStandstill(net::Time now) {
+void ListFallback::DetectPause(net::Time now) {
   if (now > timer_due_ + settings_.bounds.thaw_slack) resumed_at_ = now;
 }
 
 void ListFallback::OnTimer() {
   const net::Time now = loop_.Now();
-  NoteStandstill(now);
-  NoteFreshness();
-  DropOlderOwnList();
-  if (agent_.view().endpoints == nullptr) return ArmAt(now + LateAfter());
-  if (CoreIsFresh(now)) {
+  DetectPause(now);
+  RecordFreshness();
+  DropOutdatedLocalList();
+  if (agent_.view().endpoints == nullptr) return ArmAt(now + LateThreshold());
+  if (CoreListIsFresh(now)) {
     Deactivate();
-    return ArmAt(agent_.endpoints_read_at() + LateAfter());
+    return ArmAt(agent_.endpoints_read_at() + LateThreshold());
   }
-  // A process that stood still renews first.
+  // A process that has just resumed renews its lease first.
   if (resumed_at_ == now) return ArmAt(now + settings_.bounds.thaw_slack);
   Refresh();
-  ArmAt(now + settings_.bounds.drain / kCheckPart);
+  ArmAt(now + settings_.bounds.drain / kCheckDivisor);
 }
 
-// The rate could not be shared while it is not known among how many. That excuses a list that has
-// been fresh; a first one waits for the list of members, which follows it.
+// Without a list of members the number of proxies that share the platform's rate limit is unknown,
+// and nothing may be read. That counts as a failing platform if some list has been fresh before. A
+// first list stays unverified until the list of members arrives, which follows it.
 void ListFallback::Refresh() {
   if (ListedProxies().empty()) {
-    if (was_fresh_) trouble_seen_at_ = loop_.Now();
+    if (has_been_fresh_) platform_failed_at_ = loop_.Now();
     return;
   }
   if (!active_) Activate();
-  ReadIfChosen();
-  Fetch();
+  StartOrStopReading();
+  FetchFromReader();
 }
 
 void ListFallback::Activate() {
   active_ = true;
-  log::Info(kModule, "the core's list of endpoints is late: it is read here");
-  MakePlan();
+  log::Info(
+      kModule,
+      "the core's list of endpoints is late; reading the platform's list or asking other proxies");
+  UpdatePlan();
   choice_.Reset();
-  owes_walk_ = !is_listed_;
+  needs_initial_read_ = !is_listed_;
 }
 
-// Again whenever a reader has failed or the pages turn out to be of another size: the list of
-// members may be another since, too.
-void ListFallback::MakePlan() {
-  proxies_ = ListedProxies();
+// Called on activation, and again when a reader has failed or the size of pages differs from what
+// was assumed. The list of members may have changed as well by then.
+void ListFallback::UpdatePlan() {
+  proxies_by_rank_ = ListedProxies();
   plan_ = PlanReading(settings_.cloud.rate_per_s, settings_.bounds.drain, list()->entries.size(),
-                      proxies_.size(), entries_of_page_);
-  const auto self = std::find(proxies_.begin(), proxies_.end(), hub_.self().address);
-  const auto rank = static_cast<std::size_t>(self - proxies_.begin());
-  is_listed_ = self != proxies_.end();
-  if (!is_listed_) proxies_.push_back(hub_.self().address);
-  choice_.SetFleet(rank, proxies_.size(), plan_.readers);
+                      proxies_by_rank_.size(), entries_per_page_);
+  const auto self =
+      std::find(proxies_by_rank_.begin(), proxies_by_rank_.end(), hub_.self().address);
+  const auto rank = static_cast<std::size_t>(self - proxies_by_rank_.begin());
+  is_listed_ = self != proxies_by_rank_.end();
+  if (!is_listed_) proxies_by_rank_.push_back(hub_.self().address);
+  choice_.SetFleet(rank, proxies_by_rank_.size(), plan_.readers);
   if (poller_) poller_->SetShareOfRate(plan_.share_of_rate);
 }
 
-void ListFallback::ReadIfChosen() {
-  if (!choice_.Reads() && !owes_walk_) return StopReading();
+void ListFallback::StartOrStopReading() {
+  if (!choice_.ShouldRead() && !needs_initial_read_) return StopReading();
   if (!poller_) StartReading();
 }
 
@@ -210,46 +219,49 @@
                                               plan_.share_of_rate};
   platform::ListPoller::Events events;
   events.read = [this](Entries entries, net::Time read_at) {
-    choice_.OnOwnReading();
-    owes_walk_ = false;
-    Take(std::move(entries), read_at);
+    choice_.OnListRead();
+    needs_initial_read_ = false;
+    StoreList(std::move(entries), read_at);
   };
-  events.failed = [this](const platform::CallError&) { owes_walk_ = false; };
-  events.page = [this](std::size_t entries) { NotePage(entries); };
+  events.failed = [this](const platform::CallError&) { needs_initial_read_ = false; };
+  events.page = [this](std::size_t entries) { OnPage(entries); };
   poller_ = std::make_unique<platform::ListPoller>(loop_, *platform_, options, std::move(events));
-  // One after the other, so that the platform is not asked by all at once.
-  const net::Span slot = settings_.bounds.drain / kSlotsPart / static_cast<int>(plan_.readers);
+  // Staggers the first calls of the readers, so that they do not arrive at the same time.
+  const net::Span slot =
+      settings_.bounds.drain / kStartSpreadDivisor / static_cast<int>(plan_.readers);
   poller_->Start(loop_.Now() + slot * static_cast<int>(choice_.rank_in_group()));
 }
 
-// What was seen of the platform holds on.
+// Keeps the time at which the poller last saw the platform fail.
 void ListFallback::StopReading() {
-  if (poller_) trouble_seen_at_ = std::max(trouble_seen_at_, poller_->trouble_seen_at());
+  if (poller_) platform_failed_at_ = std::max(platform_failed_at_, poller_->trouble_seen_at());
   poller_.reset();
   platform_.reset();
 }
 
-// Smaller pages make longer walks, and so fewer readers that call more often. One that is not among
-// them any more goes over to asking at the next look: its poller calls this.
-void ListFallback::NotePage(std::size_t entries) {
-  if (entries == 0 || entries == entries_of_page_) return;
-  entries_of_page_ = entries;
-  MakePlan();
-  if (!choice_.Reads()) ArmAt(loop_.Now());
+// Smaller pages make longer walks, and so fewer readers that call more often. If this process is no
+// longer one of the readers, it stops at the next check, due now, and not here, since its poller is
+// the caller.
+void ListFallback::OnPage(std::size_t entries) {
+  if (entries == 0 || entries == entries_per_page_) return;
+  entries_per_page_ = entries;
+  UpdatePlan();
+  if (!choice_.ShouldRead()) ArmAt(loop_.Now());
 }
 
 void ListFallback::Deactivate() {
   if (!std::exchange(active_, false)) return;
   log::Info(kModule, "the core's list of endpoints is fresh again");
   StopReading();
-  owes_walk_ = false;
-  proxies_.clear();
-  trouble_seen_at_ = {};
+  needs_initial_read_ = false;
+  proxies_by_rank_.clear();
+  platform_failed_at_ = {};
 }
 
-// All that the list of members names, in an order that each of them finds. One that is not named is
-// in nobody's plan: it comes behind the others, and so in no first group. It reads the list once,
-// since it may have just begun with an old one, and asks the others from then on.
+// The proxies that the list of members names, in an order that is the same on each of them. A proxy
+// that is not named is in no other proxy's plan: it ranks itself last, outside the first group,
+// reads the list once, since it may have just started with an old one, and asks the others from
+// then on.
 std::vector<net::Address> ListFallback::ListedProxies() const {
   std::vector<net::Address> proxies;
   if (!agent_.view().members) return proxies;
@@ -260,28 +272,28 @@
   return proxies;
 }
 
-// ---- What is read ----
+// ---- Reading and fetching ----
 
-void ListFallback::Take(Entries entries, net::Time read_at) {
-  DropOlderOwnList();
+void ListFallback::StoreList(Entries entries, net::Time read_at) {
+  DropOutdatedLocalList();
   if (read_at <= this->read_at()) return;
-  const bool is_changed = own_.Take(list(), std::move(entries), read_at);
-  NoteFreshness();
+  const bool is_changed = local_list_.Store(list(), std::move(entries), read_at);
+  RecordFreshness();
   if (is_changed) changed_();
 }
 
-void ListFallback::Fetch() {
+void ListFallback::FetchFromReader() {
   if (fetching_) return;
-  const std::optional<std::size_t> rank = choice_.NextToAsk(OwnReadingFails(loop_.Now()));
+  const std::optional<std::size_t> rank = choice_.NextReaderToAsk(LocalReadsFail(loop_.Now()));
   if (!rank) return;
   fetching_ = true;
   const net::Time sent = loop_.Now();
-  const net::Address& reader = proxies_[*rank];
+  const net::Address& reader = proxies_by_rank_[*rank];
   hub_.Call(reader, cluster::kListReadingKind, Encode(ListReadingFetch{AgeOf(read_at(), sent)}),
-            std::chrono::duration_cast<milliseconds>(settings_.bounds.drain) / kFetchPart,
-            [this, alive = std::weak_ptr<char>(life_), sent,
+            std::chrono::duration_cast<milliseconds>(settings_.bounds.drain) / kFetchTimeoutDivisor,
+            [this, lifetime = std::weak_ptr<char>(lifetime_token_), sent,
              rank = *rank](const Result<std::string>& body) {
-              if (alive.expired()) return;
+              if (lifetime.expired()) return;
               fetching_ = false;
               OnFetched(rank, sent, body);
             });
@@ -289,45 +301,48 @@
 
 void ListFallback::OnFetched(std::size_t rank, net::Time sent, const Result<std::string>& body) {
   if (!active_) return;
-  const ReaderAnswer answer = body ? TakeFetched(sent, body.value()) : AnswerOf(body.error());
-  // One reader alone may be cut off; a second one that says the same has tried the platform too.
-  if (answer == ReaderAnswer::kTrouble && choice_.first_group_given_up()) {
-    trouble_seen_at_ = loop_.Now();
+  const ReaderAnswer answer =
+      body ? StoreFetchedList(sent, body.value()) : ReaderAnswerOf(body.error());
+  // A single reader may have lost its own connection to the platform. Once the first group has
+  // failed, another reader that reports the same has tried the platform too.
+  if (answer == ReaderAnswer::kPlatformFailing && choice_.first_group_failed()) {
+    platform_failed_at_ = loop_.Now();
   }
   const bool failed = choice_.OnAnswer(rank, answer);
-  if (failed) MakePlan();
-  ReadIfChosen();
-  if (failed && !poller_) Fetch();
+  if (failed) UpdatePlan();
+  StartOrStopReading();
+  if (failed && !poller_) FetchFromReader();
 }
 
-ReaderAnswer ListFallback::TakeFetched(net::Time sent, std::string_view body) {
+ReaderAnswer ListFallback::StoreFetchedList(net::Time sent, std::string_view body) {
   const Result<ListReading> reading = cluster::DecodeListReading(body);
   Result<Entries> entries = reading ? cluster::DecodeEndpoints(reading.value().endpoints)
                                     : Result<Entries>(reading.error());
-  if (!entries) return ReaderAnswer::kSilent;
+  if (!entries) return ReaderAnswer::kNoAnswer;
   const net::Time read_at = sent - reading.value().age;
-  Take(std::move(entries.value()), read_at);
-  return reading.value().in_trouble ? ReaderAnswer::kTrouble : ReaderAnswer::kList;
+  StoreList(std::move(entries.value()), read_at);
+  return reading.value().in_trouble ? ReaderAnswer::kPlatformFailing : ReaderAnswer::kNewerList;
 }
 
-// Whether this process reads and the platform gives it nothing.
-bool ListFallback::OwnReadingFails(net::Time now) const {
-  if (!poller_ || now < read_at() + LateAfter()) return false;
-  return IsRecentTrouble(poller_->trouble_seen_at(), now);
+// Whether this process reads, has no list that is fresh, and has recently seen the platform fail.
+bool ListFallback::LocalReadsFail(net::Time now) const {
+  if (!poller_ || now < read_at() + LateThreshold()) return false;
+  return IsRecentFailure(poller_->trouble_seen_at(), now);
 }
 
 Result<std::string> ListFallback::AnswerFetch(std::string_view body) {
   const Result<ListReadingFetch> fetch = cluster::DecodeListReadingFetch(body);
   if (!fetch) return fetch.error();
-  DropOlderOwnList();
+  DropOutdatedLocalList();
   const net::Time now = loop_.Now();
-  if (!poller_ && !CoreIsFresh(now)) return MakeError(kNotReadingCode, "the list is not read here");
+  if (!poller_ && !CoreListIsFresh(now))
+    return MakeError(kNotReadingCode, "the list is not read here");
   const milliseconds age = AgeOf(read_at(), now);
-  const bool own_reading_fails = OwnReadingFails(now);
+  const bool local_reads_fail = LocalReadsFail(now);
   if (list() && age < fetch.value().age) {
-    return Encode(ListReading{age, cluster::EncodeEndpoints(list()->entries), own_reading_fails});
+    return Encode(ListReading{age, cluster::EncodeEndpoints(list()->entries), local_reads_fail});
   }
-  if (own_reading_fails) return MakeError(kTroubleCode, "the platform does not answer here");
+  if (local_reads_fail) return MakeError(kPlatformFailingCode, "the platform does not answer here");
   return MakeError(kNothingNewerCode, "nothing newer has been read here");
 }
 
--- a/src/tier/proxy/metrics_answer.cpp
+++ b/src/tier/proxy/metrics_answer.cpp
@@ -23,7 +23,7 @@
   return answer;
 }
 
-// The head that GET has, with the length of its body and without the body.
+// Answers HEAD: the head of the response to GET, its Content-Length included, without the body.
 void RespondHead(kelpspring::Client& client, kelpspring::HttpResponse answer) {
   const std::size_t length = answer.body().size();
   answer.body().clear();
@@ -34,17 +34,17 @@
 }  // namespace
 
 void AnswerMetrics(kelpspring::Client& client, const kelpspring::HttpRequest& request,
-                   const std::function<std::string()>& text) {
+                   const std::function<std::string()>& render_metrics) {
   if (kelpspring::PathOf(kelpspring::View(request.target())) != kMetricsPath) {
     client.RespondPlain(404, "GET /ready and GET /metrics are served here\n");
     return;
   }
   switch (request.method()) {
     case http::verb::get:
-      client.Respond(MetricsAnswer(text()));
+      client.Respond(MetricsAnswer(render_metrics()));
       return;
     case http::verb::head:
-      RespondHead(client, MetricsAnswer(text()));
+      RespondHead(client, MetricsAnswer(render_metrics()));
       return;
     default:
       client.Respond(NotAllowed());
--- a/src/tier/proxy/metrics_answer.h
+++ b/src/tier/proxy/metrics_answer.h
@@ -1,4 +1,5 @@
-// Answers what comes to the ready listener beside /ready: GET and HEAD of /metrics, and 404.
+// Requests to the ready listener other than those for /ready: serves GET and HEAD of /metrics, and
+// answers 404 to any other path.
 #ifndef SHELFLINK_TIER_PROXY_METRICS_ANSWER_H_
 #define SHELFLINK_TIER_PROXY_METRICS_ANSWER_H_
 
@@ -10,9 +11,9 @@
 
 namespace shelflink::proxy {
 
-// `text` is called for requests of the metrics only, from inside.
+// `render_metrics` is called for GET and HEAD of /metrics only, before this function returns.
 void AnswerMetrics(kelpspring::Client& client, const kelpspring::HttpRequest& request,
-                   const std::function<std::string()>& text);
+                   const std::function<std::string()>& render_metrics);
 
 }  // namespace shelflink::proxy
 
--- a/src/tier/proxy/program.cpp
+++ b/src/tier/proxy/program.cpp
@@ -25,24 +25,26 @@
 namespace shelflink::proxy {
 namespace {
 
-// Descriptors that are neither clients' nor endpoints'.
-constexpr std::size_t kFileDescriptors = 200;
-constexpr std::size_t kInternalDescriptors = 200;  // The hub's, the loop's, the ready listener's.
-constexpr std::size_t kLeastSockets = 64;
-constexpr std::size_t kReadySockets = 32;
+// Descriptors that are not available for connections to clients and endpoints.
+constexpr std::size_t kFileDescriptorReserve = 200;
+// For the hub, the event loop and the ready listener.
+constexpr std::size_t kInternalDescriptorReserve = 200;
+constexpr std::size_t kMinClientSockets = 64;
+constexpr std::size_t kMaxReadyConnections = 32;
 constexpr std::string_view kReadyPath = "/ready";
 constexpr unsigned kReadyStatus = 200;
 constexpr unsigned kNotReadyStatus = 503;
-// The lease is given back within this, or runs out by itself.
-constexpr auto kGiveBack = std::chrono::milliseconds(300);
+// How long a proxy that shuts down waits until the core has released its lease; after that, the
+// lease expires by itself.
+constexpr auto kLeaseReleaseTimeout = std::chrono::milliseconds(300);
 
-std::size_t SocketsFor(const ProcessSettings& settings) {
-  constexpr std::size_t kOthers = kFileDescriptors + kInternalDescriptors;
-  const std::size_t all = settings.limits.max_fds;
-  return std::max(kLeastSockets, all > kOthers ? all - kOthers : all / 2);
+std::size_t MaxSockets(const ProcessSettings& settings) {
+  constexpr std::size_t kReserved = kFileDescriptorReserve + kInternalDescriptorReserve;
+  const std::size_t max_fds = settings.limits.max_fds;
+  return std::max(kMinClientSockets, max_fds > kReserved ? max_fds - kReserved : max_fds / 2);
 }
 
-net::Address Needed(const std::optional<net::Address>& address, const char* key) {
+net::Address RequireAddress(const std::optional<net::Address>& address, const char* key) {
   if (!address) throw net::Error(net::Fault::kOther, std::string(key) + ": expected an address");
   return *address;
 }
@@ -60,7 +62,7 @@
 
 kelpspring::ServerTerms ReadyTerms() {
   kelpspring::ServerTerms terms;
-  terms.health_path = "";  // /ready is answered here, with the reasons.
+  terms.health_path = "";  // AnswerReadyListener serves /ready, with the reasons.
   return terms;
 }
 
@@ -72,12 +74,12 @@
         settings(the_settings),
         seed(SeedOf(loop, settings)),
         log(loop, [](std::string_view line) { log::Info("proxy", std::string(line)); }),
-        budget{SocketsFor(settings), 0, nullptr, nullptr},
-        ready_budget{kReadySockets, 0, [] { return false; }, nullptr},
+        budget{MaxSockets(settings), 0, nullptr, nullptr},
+        ready_budget{kMaxReadyConnections, 0, [] { return false; }, nullptr},
         hub(loop, IdentityOf(settings, seed), {}),
         agent(loop, hub, settings,
               {[this] { OnConfiguration(); }, [this] { OnCoreList(); }, [this] { OnPlacement(); },
-               [this] { OnView(); }, [this](bool) { TellReady(); }}),
+               [this] { OnView(); }, [this](bool) { ReportReady(); }}),
         fallback(loop, hub, agent, settings, std::move(make_platform), [this] { OnView(); }),
         calls(loop, log, budget,
               {settings.node, settings.zone, seed,
@@ -85,28 +87,30 @@
                [this] { return fallback.State(); }}),
         batch_front(loop, hub, View(), settings.bounds),
         runner(loop, hub, calls, View(), settings.bounds),
-        front(loop, log, loop.Listen(Needed(settings.listen_front, "listen.front")), budget, drain,
+        front(loop, log, loop.Listen(RequireAddress(settings.listen_front, "listen.front")), budget,
+              drain,
               {calls, &batch_front, [this](const std::string& tenant) { agent.CountUse(tenant); }},
               settings.bounds.grace, settings.limits.memory_mb << 20),
         ready_server(
-            loop, log, loop.Listen(Needed(settings.listen_ready, "listen.ready")), ready_budget,
-            drain, [this] { return Ready(); }, [] { return std::uint64_t{0}; },
+            loop, log, loop.Listen(RequireAddress(settings.listen_ready, "listen.ready")),
+            ready_budget, drain, [this] { return Ready(); }, [] { return std::uint64_t{0}; },
             [this](const std::shared_ptr<kelpspring::Client>& client,
                    const kelpspring::HttpRequest& request,
-                   kelpspring::Arrival) { AnswerOperator(*client, request); },
+                   kelpspring::Arrival) { AnswerReadyListener(*client, request); },
             ReadyTerms()),
-        load_timer(loop.NewTimer([this] { TellLoads(); })),
-        leave_timer(loop.NewTimer([this] { Left(); })) {
+        load_timer(loop.NewTimer([this] { ReportLoads(); })),
+        leave_timer(loop.NewTimer([this] { FinishLeaving(); })) {
     ready_server.Open();
-    TellLoads();
+    ReportLoads();
   }
 
   batch::ViewSource View() {
     return [this]() -> const cluster::View& { return agent.view(); };
   }
 
-  // What comes to the listener of /ready.
-  void AnswerOperator(kelpspring::Client& client, const kelpspring::HttpRequest& request) const {
+  // Handles every request to the ready listener.
+  void AnswerReadyListener(kelpspring::Client& client,
+                           const kelpspring::HttpRequest& request) const {
     if (kelpspring::PathOf(kelpspring::View(request.target())) == kReadyPath) {
       client.RespondPlain(Ready() ? kReadyStatus : kNotReadyStatus, ReadyBody());
     } else {
@@ -114,13 +118,13 @@
     }
   }
 
-  bool Ready() const { return ReadinessNow().Ready(loop.Now()); }
+  bool Ready() const { return ReadinessNow().IsReady(loop.Now()); }
 
   std::string ReadyBody() const {
     const net::Time now = loop.Now();
     ListCondition list;
     list.state = fallback.State();
-    list.bound = settings.bounds.drain;
+    list.max_age = settings.bounds.drain;
     const net::Time read_at = EndpointsReadAt();
     if (read_at != net::Time()) list.age = now - read_at;
     return ReadyText(ReadinessNow(), list, agent.refusing_cores(), now);
@@ -128,17 +132,17 @@
 
   Readiness ReadinessNow() const {
     Readiness readiness;
-    readiness.leaving = !drain.serving();
+    readiness.shutting_down = !drain.serving();
     readiness.has_configuration = agent.view().configuration != nullptr;
     readiness.has_endpoints = agent.view().endpoints != nullptr && AllowsRequests(fallback.State());
     readiness.had_lease = agent.lease_until() > net::Time();
     readiness.lease_until = agent.lease_until();
-    readiness.slack = settings.bounds.contact;
+    readiness.contact_slack = settings.bounds.contact;
     return readiness;
   }
 
-  // When the reading of the platform's list began that the list here stands for; net::Time() where
-  // that is not known.
+  // When the reading of the platform's list began that the list in use stands for; net::Time() if
+  // unknown.
   net::Time EndpointsReadAt() const { return fallback.read_at(); }
 
   std::string Metrics() const { return MetricsOf(Figures(), ProcessInvariants()); }
@@ -151,7 +155,7 @@
     figures.in_touch = agent.in_touch();
     figures.lease_remaining = std::max(agent.lease_until() - now, net::Span::zero());
     figures.drain_bound = settings.bounds.drain;
-    NoteView(figures, now);
+    AddViewFigures(figures, now);
     figures.calls = calls.held();
     figures.endpoint_connections = calls.dials();
     figures.batch = calls.batch();
@@ -177,7 +181,7 @@
             .report_wait = counters.report_wait};
   }
 
-  void NoteView(ProxyFigures& figures, net::Time now) const {
+  void AddViewFigures(ProxyFigures& figures, net::Time now) const {
     const cluster::View& view = agent.view();
     if (view.endpoints) {
       figures.endpoints = cluster::SummaryOf(view.endpoints->version, view.endpoints->entries);
@@ -202,42 +206,43 @@
     fallback.OnCoreList();
     OnView();
   }
-  cluster::View ActedBy() const {
+  // The core's view with the list of endpoints that the fallback has chosen.
+  cluster::View EffectiveView() const {
     cluster::View view = agent.view();
     view.endpoints = fallback.list();
     return view;
   }
   void OnView() {
-    calls.OnView(ActedBy());
-    TellReady();
+    calls.OnView(EffectiveView());
+    ReportReady();
   }
-  void TellReady() { agent.SetReady(Ready()); }
+  void ReportReady() { agent.SetReady(Ready()); }
 
-  void TellLoads() {
+  void ReportLoads() {
     for (const auto& [service, load] : calls.Loads()) {
       agent.SetLoad(service, load.running, load.waiting);
-      loaded[service] = true;
+      reported_services[service] = true;
     }
-    for (auto& [service, fresh] : loaded) {
-      if (!std::exchange(fresh, false)) agent.SetLoad(service, 0, 0);
+    for (auto& [service, has_load] : reported_services) {
+      if (!std::exchange(has_load, false)) agent.SetLoad(service, 0, 0);
     }
-    TellReady();  // The age of a list passes its bound, or becomes known, without an event.
+    ReportReady();  // No event signals that the age of a list becomes known or exceeds its limit.
     load_timer->ArmAt(loop.Now() + settings.heartbeat);
   }
 
   void Leave(std::function<void()> when_done) {
     if (!drain.Leave(false)) return;
     done = std::move(when_done);
-    TellReady();
-    runner.Drain([this] { PartLeft(); });
-    front.Leave([this] { PartLeft(); });
+    ReportReady();
+    runner.Drain([this] { OnComponentLeft(); });
+    front.Leave([this] { OnComponentLeft(); });
   }
-  void PartLeft() {
-    if (--parts_to_leave > 0) return;
-    leave_timer->ArmAt(loop.Now() + kGiveBack);
-    agent.Leave([this] { Left(); });
+  void OnComponentLeft() {
+    if (--components_to_leave > 0) return;
+    leave_timer->ArmAt(loop.Now() + kLeaseReleaseTimeout);
+    agent.Leave([this] { FinishLeaving(); });
   }
-  void Left() {
+  void FinishLeaving() {
     leave_timer->Cancel();
     if (done) std::exchange(done, nullptr)();
   }
@@ -260,8 +265,9 @@
   kelpspring::Server ready_server;
   net::TimerPtr load_timer;
   net::TimerPtr leave_timer;
-  std::map<std::string, bool> loaded;  // Services whose load was told; whether at the last time.
-  int parts_to_leave = 2;              // The runner and the front.
+  // Services whose load has been reported; the value: since the last ReportLoads began.
+  std::map<std::string, bool> reported_services;
+  int components_to_leave = 2;  // The runner and the front.
   std::function<void()> done;
 };
 
@@ -272,7 +278,7 @@
 void Program::Reload(const ProcessSettings& settings) { impl_->agent.SetSeeds(settings.seeds); }
 void Program::Leave(std::function<void()> done) { impl_->Leave(std::move(done)); }
 bool Program::ready() const { return impl_->Ready(); }
-cluster::View Program::view() const { return impl_->ActedBy(); }
+cluster::View Program::view() const { return impl_->EffectiveView(); }
 net::Time Program::endpoints_read_at() const { return impl_->fallback.read_at(); }
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/program.h
+++ b/src/tier/proxy/program.h
@@ -1,5 +1,5 @@
-// The proxy process, on any loop: takes the settings, finds the core, serves clients, says whether
-// it is ready, and leaves in order. What it knows lasts no longer than it runs.
+// The proxy process on any event loop: finds the core, serves clients, reports readiness and
+// metrics, and shuts down in order. It stores nothing on disk.
 #ifndef SHELFLINK_TIER_PROXY_PROGRAM_H_
 #define SHELFLINK_TIER_PROXY_PROGRAM_H_
 
@@ -15,23 +15,25 @@
 
 class Program {
  public:
-  // Makes the client of the platform that keeps the list, on first need; empty: there is none.
+  // Makes the client of the platform whose list of endpoints is read; called when the proxy first
+  // has to read it. Empty: no platform is configured.
   using PlatformFactory = std::function<std::unique_ptr<platform::Platform>()>;
 
-  // Throws net::Error where an address is taken.
+  // Throws net::Error if a listen address is missing or in use.
   Program(net::Loop& loop, const ProcessSettings& settings, PlatformFactory make_platform = {});
   ~Program();
   Program(const Program&) = delete;
   Program& operator=(const Program&) = delete;
 
-  // What may change while it runs: the seeds. The rest holds from one start to the next.
+  // Applies the seeds of `settings`; changes of any other setting take effect at the next start.
   void Reload(const ProcessSettings& settings);
-  // Not ready from now on; finishes what is held; `done` is called after that.
+  // Reports not ready from now on, finishes the requests in flight, then calls `done`.
   void Leave(std::function<void()> done);
   bool ready() const;
-  // The reading of the platform's list that is acted by began then or later.
+  // Lower bound of the time at which the reading of the platform's list began that the list of
+  // endpoints in use stands for.
   net::Time endpoints_read_at() const;
-  // What is acted by; its list of endpoints may be one that was read here.
+  // The view in use. Its list of endpoints may be one that this process got without the core.
   cluster::View view() const;
 
  private:
--- a/src/tier/proxy/proxy_process.cpp
+++ b/src/tier/proxy/proxy_process.cpp
@@ -14,15 +14,16 @@
 
 constexpr const char* kModule = "proxy";
 
-// Settings that cannot be used leave the old ones in force.
+// If the settings file is invalid, the previous settings stay in effect.
 void ReloadSettings(Program& program) {
   const char* path = std::getenv("SHELFLINK_CONFIG");
   const auto settings = ReadSettings(path == nullptr ? "" : path);
   if (settings) {
     program.Reload(settings.value());
-    log::Info(kModule, "settings read again");
+    log::Info(kModule, "settings reloaded");
   } else {
-    log::Warning(kModule, "the old settings stay in force: " + TextOf(settings.error()));
+    log::Warning(kModule, "settings not reloaded, the previous ones stay in effect: " +
+                              TextOf(settings.error()));
   }
 }
 
--- a/src/tier/proxy/proxy_process.h
+++ b/src/tier/proxy/proxy_process.h
@@ -1,4 +1,4 @@
-// The proxy process on sockets and signals: proxy::Program from its start until SIGTERM.
+// Runs proxy::Program with real sockets and signals, from the start of the process until SIGTERM.
 #ifndef SHELFLINK_TIER_PROXY_PROXY_PROCESS_H_
 #define SHELFLINK_TIER_PROXY_PROXY_PROCESS_H_
 
@@ -7,7 +7,8 @@
 
 namespace shelflink::proxy {
 
-// Runs `loop` until SIGTERM; SIGHUP reads the settings file again. Returns the exit code.
+// Runs `loop` until SIGTERM has been handled; SIGHUP reloads the settings file. Returns the exit
+// code.
 int RunProxy(const ProcessSettings& settings, net::GlibLoop& loop);
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/reader_choice.cpp
+++ b/src/tier/proxy/reader_choice.cpp
@@ -5,11 +5,12 @@
 namespace shelflink::proxy {
 namespace {
 
-// A later group may notice the end of the one before it a moment later than others do.
-constexpr std::size_t kMostNotReading = 2;
+// The readers of a group may notice that the group before has failed a little later than the other
+// proxies do, so that a single kNotReading proves nothing.
+constexpr std::size_t kMaxConsecutiveNotReading = 2;
 
 bool IsFailure(ReaderAnswer answer) {
-  return answer != ReaderAnswer::kList && answer != ReaderAnswer::kNothingNewer;
+  return answer != ReaderAnswer::kNewerList && answer != ReaderAnswer::kNothingNewer;
 }
 
 }  // namespace
@@ -18,74 +19,76 @@
   rank_ = rank;
   proxies_ = std::max<std::size_t>(1, proxies);
   readers_ = std::clamp<std::size_t>(readers, 1, proxies_);
-  group_ = std::min(group_, groups() - 1);
+  active_group_ = std::min(active_group_, group_count() - 1);
 }
 
 void ReaderChoice::Reset() {
-  SetGroup(0);
-  turn_ = rank_;  // So that the fleet does not ask one reader only.
+  SetActiveGroup(0);
+  next_reader_ = rank_;  // Spreads the calls of the fleet over the readers.
 }
 
-std::size_t ReaderChoice::GroupSize() const {
-  return std::min(readers_, proxies_ - std::min(proxies_, GroupBegin()));
+std::size_t ReaderChoice::ActiveGroupSize() const {
+  return std::min(readers_, proxies_ - std::min(proxies_, ActiveGroupBegin()));
 }
 
-std::size_t ReaderChoice::OthersInGroup() const {
-  return GroupSize() - (own_group() == group_ ? 1 : 0);
+std::size_t ReaderChoice::OthersInActiveGroup() const {
+  return ActiveGroupSize() - (own_group() == active_group_ ? 1 : 0);
 }
 
-std::optional<std::size_t> ReaderChoice::NextToAsk(bool in_trouble) {
-  if (StandsIn()) return turn_ % GroupBegin();
-  if (Reads() && !in_trouble) return std::nullopt;
-  if (OthersInGroup() == 0) GoToNextGroup();
-  if (OthersInGroup() == 0) return std::nullopt;
-  std::size_t rank = GroupBegin() + turn_ % GroupSize();
-  if (rank == rank_) rank = GroupBegin() + ++turn_ % GroupSize();
+std::optional<std::size_t> ReaderChoice::NextReaderToAsk(bool own_reads_fail) {
+  if (IsStandbyReader()) return next_reader_ % ActiveGroupBegin();
+  if (ShouldRead() && !own_reads_fail) return std::nullopt;
+  if (OthersInActiveGroup() == 0) ActivateNextGroup();
+  if (OthersInActiveGroup() == 0) return std::nullopt;
+  std::size_t rank = ActiveGroupBegin() + next_reader_ % ActiveGroupSize();
+  if (rank == rank_) rank = ActiveGroupBegin() + ++next_reader_ % ActiveGroupSize();
   return rank;
 }
 
 bool ReaderChoice::OnAnswer(std::size_t rank, ReaderAnswer answer) {
-  if (StandsIn()) {
-    OnAnswerToStandIn(rank, answer);
+  if (IsStandbyReader()) {
+    OnAnswerToStandby(rank, answer);
     return false;
   }
   if (IsFailure(answer)) return OnFailure(answer);
-  failed_in_a_row_ = 0;
-  not_reading_in_a_row_ = 0;
+  consecutive_failures_ = 0;
+  consecutive_not_reading_ = 0;
   return false;
 }
 
-void ReaderChoice::OnOwnReading() {
-  if (own_group() < group_) SetGroup(own_group());
+void ReaderChoice::OnListRead() {
+  if (own_group() < active_group_) SetActiveGroup(own_group());
 }
 
-void ReaderChoice::OnAnswerToStandIn(std::size_t rank, ReaderAnswer answer) {
+void ReaderChoice::OnAnswerToStandby(std::size_t rank, ReaderAnswer answer) {
   if (IsFailure(answer)) {
-    ++turn_;
+    ++next_reader_;
   } else {
-    SetGroup(std::min(group_, rank / readers_));
+    SetActiveGroup(std::min(active_group_, rank / readers_));
   }
 }
 
-// Only silence counts beyond the first group: a platform that is in trouble itself would have the
-// whole fleet read, one group after the other.
+// Beyond the first group only kNoAnswer counts as a failure. If kPlatformFailing counted there too,
+// a failing platform would be read by the whole fleet, one group after the other.
 bool ReaderChoice::OnFailure(ReaderAnswer answer) {
-  ++turn_;
-  if (answer == ReaderAnswer::kNotReading && group_ > 0) {
-    if (++not_reading_in_a_row_ >= kMostNotReading) SetGroup(0);
+  ++next_reader_;
+  if (answer == ReaderAnswer::kNotReading && active_group_ > 0) {
+    if (++consecutive_not_reading_ >= kMaxConsecutiveNotReading) SetActiveGroup(0);
     return false;
   }
-  if (answer == ReaderAnswer::kTrouble && group_ > 0) return false;
-  if (++failed_in_a_row_ >= OthersInGroup()) GoToNextGroup();
+  if (answer == ReaderAnswer::kPlatformFailing && active_group_ > 0) return false;
+  if (++consecutive_failures_ >= OthersInActiveGroup()) ActivateNextGroup();
   return true;
 }
 
-void ReaderChoice::SetGroup(std::size_t group) {
-  group_ = group;
-  failed_in_a_row_ = 0;
-  not_reading_in_a_row_ = 0;
+void ReaderChoice::SetActiveGroup(std::size_t group) {
+  active_group_ = group;
+  consecutive_failures_ = 0;
+  consecutive_not_reading_ = 0;
 }
 
-void ReaderChoice::GoToNextGroup() { SetGroup(group_ + 1 < groups() ? group_ + 1 : own_group()); }
+void ReaderChoice::ActivateNextGroup() {
+  SetActiveGroup(active_group_ + 1 < group_count() ? active_group_ + 1 : own_group());
+}
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/reader_choice.h
+++ b/src/tier/proxy/reader_choice.h
@@ -1,9 +1,11 @@
-// Which proxies read the platform's list at present, as one proxy sees it, and whom it asks.
+// Decides for one proxy whether it reads the platform's list itself, and otherwise which proxy it
+// asks for a newer list. No I/O.
 //
-// The fleet, sorted by address, is cut into groups of as many readers as share the platform's rate
-// (proxy/reading_plan.h). The first group reads, each other group only once a round of questions to
-// all readers of the group before it has failed. A reader of a later group goes on asking the
-// earlier ones and stops as soon as one of them reads. Pure.
+// The fleet, sorted by address, is divided into groups of as many readers as may share the
+// platform's rate limit (proxy/reading_plan.h). The first group reads. A later group becomes active
+// once every reader of the group before it has failed to answer usefully, one after the other. The
+// readers of a later group are standby readers: they keep asking the readers of the earlier groups
+// and stop reading as soon as one of those reads.
 #ifndef SHELFLINK_TIER_PROXY_READER_CHOICE_H_
 #define SHELFLINK_TIER_PROXY_READER_CHOICE_H_
 
@@ -13,55 +15,59 @@
 
 namespace shelflink::proxy {
 
-// What became of a question to a reader.
+// Outcome of a call to a reader.
 enum class ReaderAnswer : std::uint8_t {
-  kList,          // Something newer.
-  kNothingNewer,  // It reads, or the core's list is fresh there.
-  kTrouble,  // It reads, and the platform does not answer it; its list may be newer all the same.
-  kNotReading,  // It should know a newer list, and neither reads nor has one.
-  kSilent,      // No answer in time, or none that can be read.
+  kNewerList,     // It has answered with a newer list.
+  kNothingNewer,  // It has no newer list; it reads, or the core's list is fresh there.
+  // It reads, but the platform does not answer it; it may have sent a newer list all the same.
+  kPlatformFailing,
+  kNotReading,  // It neither reads nor has a fresh list from the core, so that it cannot help.
+  kNoAnswer,    // No answer in time, or one that cannot be decoded.
 };
 
 class ReaderChoice {
  public:
-  // `rank`: of this process among `proxies`; a group has `readers`. The group in charge stays.
+  // `rank`: position of this process in the fleet. `proxies`: size of the fleet. `readers`: size of
+  // a group. The active group stays the same, or becomes the last one of a fleet that has shrunk.
   void SetFleet(std::size_t rank, std::size_t proxies, std::size_t readers);
-  // The first group is in charge again.
+  // Makes the first group the active one.
   void Reset();
 
-  bool Reads() const { return own_group() <= group_; }
+  bool ShouldRead() const { return own_group() <= active_group_; }
   std::size_t rank_in_group() const { return rank_ % readers_; }
-  // Whether the first group has been given up by this process.
-  bool first_group_given_up() const { return group_ > 0; }
+  // Whether this process has found that all readers of the first group fail.
+  bool first_group_failed() const { return active_group_ > 0; }
 
-  // The rank of the reader to be asked; none where there is no other. `in_trouble`: this process
-  // reads, and the platform does not answer it.
-  std::optional<std::size_t> NextToAsk(bool in_trouble);
-  // Whether it was a failure that counts, so that the next reader may be asked at once.
+  // The rank of the reader to ask next; none if this process need not ask, or if there is no other
+  // proxy. `own_reads_fail`: this process reads, but the platform does not answer it.
+  std::optional<std::size_t> NextReaderToAsk(bool own_reads_fail);
+  // Records the outcome of a call. Returns whether it counts as a failure of the reader, so that
+  // the next reader may be asked at once.
   bool OnAnswer(std::size_t rank, ReaderAnswer answer);
-  // This process has read a whole list.
-  void OnOwnReading();
+  // This process has read a whole list from the platform: later groups are not needed.
+  void OnListRead();
 
  private:
   std::size_t own_group() const { return rank_ / readers_; }
-  std::size_t groups() const { return (proxies_ + readers_ - 1) / readers_; }
-  // Ranks of the group in charge, without this process.
-  std::size_t GroupBegin() const { return group_ * readers_; }
-  std::size_t GroupSize() const;
-  std::size_t OthersInGroup() const;
-  bool StandsIn() const { return own_group() > 0 && own_group() == group_; }
-  void SetGroup(std::size_t group);
-  void GoToNextGroup();
-  void OnAnswerToStandIn(std::size_t rank, ReaderAnswer answer);
+  std::size_t group_count() const { return (proxies_ + readers_ - 1) / readers_; }
+  std::size_t ActiveGroupBegin() const { return active_group_ * readers_; }  // A rank.
+  std::size_t ActiveGroupSize() const;
+  // Size of the active group without this process.
+  std::size_t OthersInActiveGroup() const;
+  bool IsStandbyReader() const { return own_group() > 0 && own_group() == active_group_; }
+  void SetActiveGroup(std::size_t group);
+  void ActivateNextGroup();
+  void OnAnswerToStandby(std::size_t rank, ReaderAnswer answer);
   bool OnFailure(ReaderAnswer answer);
 
   std::size_t rank_ = 0;
   std::size_t proxies_ = 1;
   std::size_t readers_ = 1;
-  std::size_t group_ = 0;  // The group in charge, as far as this process knows.
-  std::size_t turn_ = 0;   // Which reader is asked next; goes on where one fails.
-  std::size_t failed_in_a_row_ = 0;
-  std::size_t not_reading_in_a_row_ = 0;
+  std::size_t active_group_ = 0;  // The last group that reads, as far as this process knows.
+  // Index, modulo the size of the group, of the reader to ask; advances when a reader fails.
+  std::size_t next_reader_ = 0;
+  std::size_t consecutive_failures_ = 0;
+  std::size_t consecutive_not_reading_ = 0;
 };
 
 }  // namespace shelflink::proxy
--- a/src/tier/proxy/readiness.h
+++ b/src/tier/proxy/readiness.h
@@ -1,4 +1,5 @@
-// Whether a proxy calls itself ready, see RULES (in touch) and PROTOCOL (Ingress). Pure.
+// Conditions under which a proxy reports itself ready, see RULES (in touch) and PROTOCOL (Ingress).
+// No I/O.
 #ifndef SHELFLINK_TIER_PROXY_READINESS_H_
 #define SHELFLINK_TIER_PROXY_READINESS_H_
 
@@ -7,15 +8,16 @@
 namespace shelflink::proxy {
 
 struct Readiness {
-  bool leaving = false;
+  bool shutting_down = false;
   bool has_configuration = false;
-  bool has_endpoints = false;  // A list of them that requests may go by, however short.
-  bool had_lease = false;      // In this process's life.
+  bool has_endpoints = false;  // A list of endpoints that allows requests, even an empty one.
+  bool had_lease = false;      // Since the start of this process.
   net::Time lease_until{};
-  net::Span slack{};  // How long beyond its lease it may be behind and still be in touch.
+  net::Span contact_slack{};  // How long after the end of its lease it still counts as in touch.
 
-  bool Ready(net::Time now) const {
-    return !leaving && has_configuration && has_endpoints && had_lease && now < lease_until + slack;
+  bool IsReady(net::Time now) const {
+    return !shutting_down && has_configuration && has_endpoints && had_lease &&
+           now < lease_until + contact_slack;
   }
 };
 
--- a/src/tier/proxy/reading_plan.h
+++ b/src/tier/proxy/reading_plan.h
@@ -1,5 +1,5 @@
-// Which proxies read the platform's list themselves while the core's lists are late, and how fast,
-// so that all of them together keep within their share of the platform's rate. Pure.
+// How many proxies read the platform's list themselves while the core's lists are late, and at
+// which rate, so that together they keep within their share of the platform's rate limit. No I/O.
 #ifndef SHELFLINK_TIER_PROXY_READING_PLAN_H_
 #define SHELFLINK_TIER_PROXY_READING_PLAN_H_
 
@@ -8,22 +8,24 @@
 
 namespace shelflink::proxy {
 
-// Of the platform's rate, for all proxies together; a primary that is cut off may use the other
-// half (platform::kCoreShareOfRate), and some is left for calls that meet at the platform.
+// Share of the platform's rate limit for all proxies together. A primary that the proxies cannot
+// reach may use half of the limit (platform::kCoreShareOfRate); the rest is headroom for calls that
+// arrive at the platform at the same time.
 constexpr double kProxiesShareOfRate = 0.4;
-// Entries on one page of the platform's list, until a page has shown how many it holds.
-constexpr std::size_t kEntriesOfPage = 50;
-// Each reader reads a whole list within this part of the time in which a drain must bind.
-constexpr int kWalkPart = 4;
+// Entries per page of the platform's list, assumed until a page shows the actual number.
+constexpr std::size_t kDefaultEntriesPerPage = 50;
+// Each reader reads a whole list within `drainMs` divided by this.
+constexpr int kWalkDivisor = 4;
 
 struct ReadingPlan {
-  std::size_t readers = 1;     // The first so many proxies by address.
-  double share_of_rate = 0.0;  // Of one reader.
+  std::size_t readers = 1;     // The proxies that read: this many, the first by address.
+  double share_of_rate = 0.0;  // Of the platform's rate limit, for each reader.
 };
 
-// `proxies`: of the fleet, this one among them. `entries_of_page`: at least one.
+// `rate_per_s`: the platform's rate limit. `endpoints`: entries of the list. `proxies`: size of the
+// fleet, this proxy included. `entries_per_page`: at least one.
 ReadingPlan PlanReading(double rate_per_s, std::chrono::milliseconds drain, std::size_t endpoints,
-                        std::size_t proxies, std::size_t entries_of_page = kEntriesOfPage);
+                        std::size_t proxies, std::size_t entries_per_page = kDefaultEntriesPerPage);
 
 }  // namespace shelflink::proxy
 
--- a/src/tier/proxy/ready_text.cpp
+++ b/src/tier/proxy/ready_text.cpp
@@ -6,18 +6,18 @@
 namespace shelflink::proxy {
 namespace {
 
-std::string InSeconds(net::Span span) {
+std::string SecondsText(net::Span span) {
   const auto tenths = std::chrono::duration_cast<std::chrono::milliseconds>(span).count() / 100;
   return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10) + " s";
 }
 
-std::string TextOfLease(const Readiness& readiness, net::Time now) {
+std::string LeaseText(const Readiness& readiness, net::Time now) {
   if (!readiness.had_lease) return "no lease from the core yet\n";
   if (now < readiness.lease_until) return "";
-  return "out of touch with the core for " + InSeconds(now - readiness.lease_until) + "\n";
+  return "out of touch with the core for " + SecondsText(now - readiness.lease_until) + "\n";
 }
 
-std::string_view WhyOld(ListState state) {
+std::string_view ReasonForAge(ListState state) {
   switch (state) {
     case ListState::kFresh:
       return "";
@@ -33,32 +33,32 @@
   return "";
 }
 
-std::string TextOfList(const Readiness& readiness, const ListCondition& list) {
+std::string ListText(const Readiness& readiness, const ListCondition& list) {
   if (!readiness.has_endpoints && list.state != ListState::kUnverified) {
     return "no list of endpoints yet\n";
   }
   if (!list.age) {
-    const bool tells_why = list.state == ListState::kUnverified;
+    const bool has_reason = list.state == ListState::kUnverified;
     return "the list of endpoints is of unknown age" +
-           std::string(tells_why ? WhyOld(list.state) : "") + "\n";
+           std::string(has_reason ? ReasonForAge(list.state) : "") + "\n";
   }
-  if (*list.age <= list.bound) return "";
-  return "the list of endpoints is " + InSeconds(*list.age) + " old, " + InSeconds(list.bound) +
-         " are allowed" + std::string(WhyOld(list.state)) + "\n";
+  if (*list.age <= list.max_age) return "";
+  return "the list of endpoints is " + SecondsText(*list.age) + " old, " +
+         SecondsText(list.max_age) + " are allowed" + std::string(ReasonForAge(list.state)) + "\n";
 }
 
 }  // namespace
 
 std::string ReadyText(const Readiness& readiness, const ListCondition& list,
                       std::size_t refusing_cores, net::Time now) {
-  std::string text = readiness.Ready(now) ? "ready\n" : "not ready\n";
-  if (readiness.leaving) text += "told to end\n";
+  std::string text = readiness.IsReady(now) ? "ready\n" : "not ready\n";
+  if (readiness.shutting_down) text += "told to end\n";
   if (!readiness.has_configuration) text += "no configuration yet\n";
-  text += TextOfLease(readiness, now);
+  text += LeaseText(readiness, now);
   if (refusing_cores > 0) {
     text += "core processes whose disks refuse writes: " + std::to_string(refusing_cores) + "\n";
   }
-  text += TextOfList(readiness, list);
+  text += ListText(readiness, list);
   return text;
 }
 
--- a/src/tier/proxy/ready_text.h
+++ b/src/tier/proxy/ready_text.h
@@ -1,6 +1,6 @@
-// The body of an answer to GET /ready, for whoever operates the proxy: whether it is ready and, a
-// line each, what stands in the way and what is wrong beside it. The platform reads the status
-// alone, which nothing here decides. Pure.
+// The body of the response to GET /ready, meant for operators: whether the proxy is ready, then one
+// line for each reason why it is not and for each other fault. The platform looks at the status
+// code only, which is decided elsewhere (Readiness). No I/O.
 #ifndef SHELFLINK_TIER_PROXY_READY_TEXT_H_
 #define SHELFLINK_TIER_PROXY_READY_TEXT_H_
 
@@ -14,14 +14,14 @@
 
 namespace shelflink::proxy {
 
-// Of the list of endpoints that the proxy goes by.
+// Age and state of the list of endpoints that the proxy uses.
 struct ListCondition {
   ListState state = ListState::kFresh;
-  std::optional<net::Span> age;  // Since its reading; none: not known.
-  net::Span bound{};             // `bounds.drainMs`
+  std::optional<net::Span> age;  // Time since its reading began; none: unknown.
+  net::Span max_age{};           // `bounds.drainMs`
 };
 
-// `refusing_cores`: core processes that said that their disks refuse writes.
+// `refusing_cores`: number of core processes that have reported that their disks refuse writes.
 std::string ReadyText(const Readiness& readiness, const ListCondition& list,
                       std::size_t refusing_cores, net::Time now);
 
--- a/tests/tier/proxy/metrics_test.cpp
+++ b/tests/tier/proxy/metrics_test.cpp
@@ -1,4 +1,5 @@
-// Every figure of a proxy, byte for byte; and what is left out where it is not known.
+// The metrics of a proxy, byte for byte, and which of them are omitted while they are unknown; also
+// the body of the response to GET /ready.
 #define BOOST_TEST_MODULE proxy_metrics
 #include "tier/proxy/metrics.h"
 
@@ -11,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-std::string OwnText(const ProxyFigures& figures) {
+std::string ProxyMetricsText(const ProxyFigures& figures) {
   const std::string text = MetricsOf(figures, Invariants());
   return text.substr(text.find("# HELP shelflink_ready"));
 }
@@ -34,7 +35,7 @@
   figures.batch_runs = {
       7, 100, 90, 60, 5, 4, 3, 2, 1, 70, milliseconds(3500), 65, milliseconds(650)};
   BOOST_TEST(
-      OwnText(figures) ==
+      ProxyMetricsText(figures) ==
       "# HELP shelflink_ready Whether GET /ready answers 200.\n"
       "# TYPE shelflink_ready gauge\n"
       "shelflink_ready 1\n"
@@ -128,7 +129,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_is_not_known_is_left_out) {
-  const std::string text = OwnText(ProxyFigures());
+  const std::string text = ProxyMetricsText(ProxyFigures());
   BOOST_TEST(text.find("\nshelflink_core_in_touch 0\n") != std::string::npos);
   BOOST_TEST(text.find("\nshelflink_lease_remaining_seconds 0\n") != std::string::npos);
   for (const char* absent : {"shelflink_endpoint_list_", "shelflink_configuration_version",
@@ -137,80 +138,80 @@
   }
 }
 
-// --- What GET /ready says beside its status -----------------------------------------------------
+// --- The body of the response to GET /ready -----------------------------------------------------
 
 const net::Time kNow(std::chrono::seconds(100));
 
-Readiness Good() {
+Readiness ReadyState() {
   Readiness good;
   good.has_configuration = true;
   good.has_endpoints = true;
   good.had_lease = true;
   good.lease_until = kNow + milliseconds(10);
-  good.slack = milliseconds(3000);
+  good.contact_slack = milliseconds(3000);
   return good;
 }
 
-ListCondition Fresh() {
+ListCondition FreshList() {
   ListCondition list;
   list.age = milliseconds(1200);
-  list.bound = milliseconds(3000);
+  list.max_age = milliseconds(3000);
   return list;
 }
 
 BOOST_AUTO_TEST_CASE(readiness_without_a_fault_has_no_reasons) {
-  BOOST_TEST(ReadyText(Good(), Fresh(), 0, kNow) == "ready\n");
+  BOOST_TEST(ReadyText(ReadyState(), FreshList(), 0, kNow) == "ready\n");
 }
 
-BOOST_AUTO_TEST_CASE(a_process_that_has_just_begun_says_what_it_lacks) {
+BOOST_AUTO_TEST_CASE(a_process_that_has_just_started_says_what_it_lacks) {
   BOOST_TEST(ReadyText({}, {}, 0, kNow) ==
              "not ready\nno configuration yet\nno lease from the core yet\n"
              "no list of endpoints yet\n");
 }
 
-BOOST_AUTO_TEST_CASE(out_of_touch_is_told_before_it_is_a_reason) {
-  BOOST_TEST(ReadyText(Good(), Fresh(), 0, kNow + milliseconds(1510)) ==
+BOOST_AUTO_TEST_CASE(out_of_touch_is_reported_before_it_makes_the_proxy_not_ready) {
+  BOOST_TEST(ReadyText(ReadyState(), FreshList(), 0, kNow + milliseconds(1510)) ==
              "ready\nout of touch with the core for 1.5 s\n");
-  BOOST_TEST(ReadyText(Good(), Fresh(), 0, kNow + milliseconds(3010)) ==
+  BOOST_TEST(ReadyText(ReadyState(), FreshList(), 0, kNow + milliseconds(3010)) ==
              "not ready\nout of touch with the core for 3.0 s\n");
 }
 
-BOOST_AUTO_TEST_CASE(full_disks_of_the_core_are_told) {
-  BOOST_TEST(ReadyText(Good(), Fresh(), 2, kNow + milliseconds(3010)) ==
+BOOST_AUTO_TEST_CASE(full_disks_of_the_core_are_reported) {
+  BOOST_TEST(ReadyText(ReadyState(), FreshList(), 2, kNow + milliseconds(3010)) ==
              "not ready\nout of touch with the core for 3.0 s\n"
              "core processes whose disks refuse writes: 2\n");
 }
 
-BOOST_AUTO_TEST_CASE(a_process_that_leaves_says_so) {
-  Readiness leaving = Good();
-  leaving.leaving = true;
-  BOOST_TEST(ReadyText(leaving, Fresh(), 0, kNow) == "not ready\ntold to end\n");
+BOOST_AUTO_TEST_CASE(a_process_that_shuts_down_says_so) {
+  Readiness stopping = ReadyState();
+  stopping.shutting_down = true;
+  BOOST_TEST(ReadyText(stopping, FreshList(), 0, kNow) == "not ready\ntold to end\n");
 }
 
-BOOST_AUTO_TEST_CASE(a_list_that_is_too_old_is_told_with_the_reason) {
-  ListCondition list = Fresh();
+BOOST_AUTO_TEST_CASE(a_list_that_is_too_old_is_reported_with_the_reason) {
+  ListCondition list = FreshList();
   list.age = milliseconds(3000);
-  BOOST_TEST(ReadyText(Good(), list, 0, kNow) == "ready\n");
+  BOOST_TEST(ReadyText(ReadyState(), list, 0, kNow) == "ready\n");
   list.age = milliseconds(4250);
   list.state = ListState::kStale;
-  BOOST_TEST(ReadyText(Good(), list, 0, kNow) ==
+  BOOST_TEST(ReadyText(ReadyState(), list, 0, kNow) ==
              "ready\nthe list of endpoints is 4.2 s old, 3.0 s are allowed; neither the core nor "
              "another proxy has a newer one\n");
   list.state = ListState::kPlatformUnavailable;
-  BOOST_TEST(ReadyText(Good(), list, 0, kNow) ==
+  BOOST_TEST(ReadyText(ReadyState(), list, 0, kNow) ==
              "ready\nthe list of endpoints is 4.2 s old, 3.0 s are allowed; the platform does not "
              "answer in time\n");
   list.state = ListState::kResumed;
-  BOOST_TEST(ReadyText(Good(), list, 0, kNow) ==
+  BOOST_TEST(ReadyText(ReadyState(), list, 0, kNow) ==
              "ready\nthe list of endpoints is 4.2 s old, 3.0 s are allowed; the process has just "
              "begun, or stood still\n");
   list.age.reset();
-  BOOST_TEST(ReadyText(Good(), list, 0, kNow) ==
+  BOOST_TEST(ReadyText(ReadyState(), list, 0, kNow) ==
              "ready\nthe list of endpoints is of unknown age\n");
   list.state = ListState::kUnverified;
-  Readiness unchecked = Good();
-  unchecked.has_endpoints = false;
-  BOOST_TEST(ReadyText(unchecked, list, 0, kNow) ==
+  Readiness unverified = ReadyState();
+  unverified.has_endpoints = false;
+  BOOST_TEST(ReadyText(unverified, list, 0, kNow) ==
              "not ready\nthe list of endpoints is of unknown age; it is the first one, and nothing "
              "newer has been read yet\n");
 }
--- a/tests/tier/proxy/mutants.cmake
+++ b/tests/tier/proxy/mutants.cmake
@@ -1,6 +1,6 @@
 # One test a mutant: a source file with one text replaced, and the case that must find it. A text
 # that does not stand in its file exactly once is an error, so that no mutant is the program itself.
-foreach(suite exchange_table live_rules stale_list stale_list_excuses)
+foreach(suite exchange_table live_rules stale_list stale_list_tolerance)
   add_library(tier_proxy_${suite}_cases OBJECT ${suite}_test.cpp)
   target_include_directories(tier_proxy_${suite}_cases PRIVATE ${PROJECT_SOURCE_DIR}/tests/tier
     ${PROJECT_SOURCE_DIR}/src)
@@ -10,7 +10,7 @@
 endforeach()
 target_link_libraries(tier_proxy_stale_list_cases PUBLIC shelflink_tier_proxy_program
   shelflink_tier_core shelflink_tier_coordination)
-target_link_libraries(tier_proxy_stale_list_excuses_cases PUBLIC shelflink_tier_proxy_program
+target_link_libraries(tier_proxy_stale_list_tolerance_cases PUBLIC shelflink_tier_proxy_program
   shelflink_tier_core)
 
 function(proxy_mutant name suite case file text replacement)
@@ -82,7 +82,7 @@
   the_protocols_headers_pass_whatever_connection_names
   tier/proxy/headers.cpp [=[!IsOfProtocol(name) && ]=] "")
 
-# The list of endpoints while control stands still.
+# The list of endpoints while the control plane is unavailable.
 proxy_mutant(a_list_counts_as_published_once_it_is_read stale_list
   a_list_that_was_read_while_the_lease_had_lapsed_is_published
   tier/cluster/endpoint_watch.cpp
@@ -90,72 +90,72 @@
   [=[  if (!published_) publish_(*entries_);
   published_ = true;]=])
 proxy_mutant(draining_endpoints_become_ready_again stale_list
-  what_was_seen_draining_stays_draining
+  an_endpoint_seen_draining_stays_draining
   tier/proxy/endpoint_registry.cpp
   [=[known.draining = SeenDraining(entry.id);]=] [=[known.draining = entry.draining;]=])
-proxy_mutant(departed_endpoints_are_forgotten_at_once stale_list
-  what_was_seen_draining_stays_draining_beyond_its_end
+proxy_mutant(removed_endpoints_are_forgotten_at_once stale_list
+  an_endpoint_seen_draining_stays_draining_after_its_removal
   tier/proxy/endpoint_registry.cpp
   [=[    RememberDeparted(present->first);]=] [=[    seen_draining_.erase(present->first);]=])
-proxy_mutant(what_is_listed_again_stays_among_the_departed stale_list
-  what_was_seen_draining_and_is_listed_again_is_not_forgotten_with_the_departed
+proxy_mutant(an_endpoint_listed_again_stays_among_the_removed_ones stale_list
+  a_draining_endpoint_that_is_listed_again_is_not_forgotten_with_the_removed_ones
   tier/proxy/endpoint_registry.cpp
   [=[  if (SeenDraining(id)) std::erase(departed_, id);]=] "")
-proxy_mutant(connections_are_not_told_of_drains stale_list
-  a_send_to_what_was_seen_draining_is_a_violation
+proxy_mutant(connections_ignore_drains stale_list
+  a_connection_that_opens_after_the_drain_carries_no_request
   tier/proxy/endpoint_registry.cpp
   [=[known.address, known.takes_requests(), 0);]=] [=[known.address, true, 0);]=])
-proxy_mutant(no_renewal_tells_the_lists_age stale_list no_proxy_reads_while_the_core_does
+proxy_mutant(no_renewal_reports_the_lists_age stale_list no_proxy_reads_while_the_core_does
   tier/cluster/core_service.cpp
   [=[    answer.endpoints_age = endpoint_lists.Age();]=] "")
-proxy_mutant(no_proxy_reads_the_list_itself stale_list a_drain_binds_without_any_core_process
+proxy_mutant(no_proxy_reads_the_list_itself stale_list a_drain_takes_effect_without_any_core_process
   tier/proxy/list_fallback.cpp
   [=[  poller_->Start(loop_.Now() + slot * static_cast<int>(choice_.rank_in_group()));]=] "")
 proxy_mutant(no_proxy_reads_while_a_disk_is_slow stale_list
-  a_drain_binds_while_disks_of_the_core_take_seconds_to_sync
+  a_drain_takes_effect_while_disks_of_the_core_take_seconds_to_sync
   tier/proxy/list_fallback.cpp
   [=[  poller_->Start(loop_.Now() + slot * static_cast<int>(choice_.rank_in_group()));]=] "")
 proxy_mutant(the_first_list_of_members_waits stale_list
-  a_drain_binds_while_disks_of_a_core_that_has_just_begun_take_seconds_to_sync
+  a_drain_takes_effect_while_disks_of_a_core_that_has_just_started_take_seconds_to_sync
   tier/cluster/core_service.cpp
   [=[(first_epoch > kFirstEpoch && now < led_since + hearing)]=] [=[now < led_since + hearing]=])
-proxy_mutant(who_is_not_named_counts_as_named stale_list
-  proxies_that_the_list_of_members_does_not_name_ask_those_that_it_names
+proxy_mutant(a_proxy_missing_from_the_list_counts_as_named stale_list
+  proxies_missing_from_the_list_of_members_ask_those_that_it_names
   tier/proxy/list_fallback.cpp
-  [=[proxies_.size(), entries_of_page_);]=] [=[proxies_.size() + 1, entries_of_page_);]=])
-proxy_mutant(no_proxy_asks_another stale_list a_drain_binds_at_proxies_that_ask_those_that_read
+  [=[proxies_by_rank_.size(), entries_per_page_);]=] [=[proxies_by_rank_.size() + 1, entries_per_page_);]=])
+proxy_mutant(no_proxy_asks_another stale_list a_drain_takes_effect_at_proxies_that_ask_the_readers
   tier/proxy/list_fallback.cpp
-  [=[  ReadIfChosen();
-  Fetch();]=]
-  [=[  ReadIfChosen();]=])
-proxy_mutant(nobody_stands_in_for_a_reader stale_list
-  a_drain_binds_after_the_only_proxy_that_reads_has_ended
+  [=[  StartOrStopReading();
+  FetchFromReader();]=]
+  [=[  StartOrStopReading();]=])
+proxy_mutant(no_standby_reader_takes_over stale_list
+  a_drain_takes_effect_after_the_only_reader_has_ended
   tier/proxy/reader_choice.cpp
-  [=[  if (++failed_in_a_row_ >= OthersInGroup()) GoToNextGroup();]=] "")
-proxy_mutant(who_stands_in_reads_for_ever stale_list
-  who_stands_in_for_a_reader_keeps_within_the_rate_and_stops_once_it_is_back
+  [=[  if (++consecutive_failures_ >= OthersInActiveGroup()) ActivateNextGroup();]=] "")
+proxy_mutant(a_standby_reader_never_stops stale_list
+  a_standby_reader_keeps_within_the_rate_and_stops_once_the_reader_is_back
   tier/proxy/reader_choice.cpp
-  [=[    SetGroup(std::min(group_, rank / readers_));]=] "")
-proxy_mutant(a_platform_in_trouble_is_asked_by_all stale_list
+  [=[    SetActiveGroup(std::min(active_group_, rank / readers_));]=] "")
+proxy_mutant(a_failing_platform_is_asked_by_all stale_list
   a_platform_that_fails_is_not_asked_by_the_whole_fleet
   tier/proxy/reader_choice.cpp
-  [=[  if (answer == ReaderAnswer::kTrouble && group_ > 0) return false;]=] "")
-proxy_mutant(a_proxy_reads_for_ever stale_list proxies_stop_to_read_once_the_core_does
+  [=[  if (answer == ReaderAnswer::kPlatformFailing && active_group_ > 0) return false;]=] "")
+proxy_mutant(a_proxy_reads_for_ever stale_list proxies_stop_reading_once_the_core_reads
   tier/proxy/list_fallback.cpp
   [=[    Deactivate();
 ]=] "")
-proxy_mutant(items_go_by_any_list stale_list
+proxy_mutant(items_ignore_the_list_state stale_list
   a_send_by_a_stale_list_is_a_violation_and_items_wait_for_a_renewal
   tier/proxy/endpoint_calls.cpp
   [=[  return live.request.batch ? !AllowsBatchItems(list) : !AllowsRequests(list);]=]
   [=[  return !AllowsRequests(list);]=])
-proxy_mutant(requests_go_by_any_list stale_list
+proxy_mutant(requests_ignore_the_list_state stale_list
   a_send_by_a_stale_list_is_a_violation_and_items_wait_for_a_renewal
   tier/proxy/endpoint_calls.cpp
   [=[  return live.request.batch ? !AllowsBatchItems(list) : !AllowsRequests(list);]=]
   [=[  return live.request.batch && !AllowsBatchItems(list);]=])
-proxy_mutant(a_silent_call_for_the_list_is_waited_for stale_list
-  a_drain_binds_soon_after_a_platform_that_was_silent_answers_again
+proxy_mutant(an_unanswered_call_for_the_list_is_awaited_for_ever stale_list
+  a_drain_takes_effect_soon_after_a_platform_that_was_silent_answers_again
   tier/platform/list_poller.cpp
   [=[    timer_->ArmAt(give_up_at_);]=] [=[    timer_->Cancel();]=])
 proxy_mutant(late_answers_of_the_platform_are_dropped stale_list the_list_of_a_slow_platform_is_read
@@ -163,49 +163,49 @@
   [=[  const bool in_time = awaiting_ && call.number == last_call_;]=]
   [=[  const bool in_time = awaiting_ && call.number == last_call_;
   if (!in_time) return;]=])
-proxy_mutant(slow_answers_are_no_trouble stale_list_excuses
-  the_time_stands_still_while_the_platform_is_slow
+proxy_mutant(slow_answers_are_no_failure stale_list_tolerance
+  the_drain_limit_is_suspended_while_the_platform_is_slow
   tier/platform/list_reader.cpp
   [=[ return PartOf(drain_, kSlowAnswerPart);]=] [=[ return drain_;]=])
-proxy_mutant(trouble_excuses_for_ever stale_list_excuses
-  a_platform_that_was_slow_some_time_ago_is_no_excuse
+proxy_mutant(a_failure_is_tolerated_for_ever stale_list_tolerance
+  a_stale_list_is_a_violation_some_time_after_the_platform_was_slow
   tier/proxy/list_fallback.cpp
-  [=[ && now < seen_at + settings_.bounds.drain / kRecoveryPart;]=] [=[;]=])
-proxy_mutant(a_platform_always_excuses stale_list_excuses
-  a_platform_that_answers_is_no_excuse_for_a_proxy_that_reads_too_seldom
+  [=[ && now < seen_at + settings_.bounds.drain / kRecoveryDivisor;]=] [=[;]=])
+proxy_mutant(a_stale_list_is_always_tolerated stale_list_tolerance
+  a_stale_list_is_a_violation_if_the_proxy_reads_too_seldom
   tier/proxy/list_fallback.cpp
-  [=[  return PlatformInTrouble(now) ? ListState::kPlatformUnavailable : ListState::kStale;]=]
+  [=[  return PlatformIsFailing(now) ? ListState::kPlatformUnavailable : ListState::kStale;]=]
   [=[  return ListState::kPlatformUnavailable;]=])
-proxy_mutant(a_first_list_waits_for_the_next_look stale_list_excuses
+proxy_mutant(a_first_list_waits_for_the_next_check stale_list_tolerance
   a_proxy_whose_first_list_is_old_reads_at_once
   tier/proxy/list_fallback.cpp
-  [=[  ArmAt(loop_.Now() + (age_known ? net::Span() : settings_.bounds.drain / kCheckPart));]=] "")
-proxy_mutant(a_first_list_stays_unchecked stale_list_excuses
-  a_first_list_is_no_excuse_once_the_proxy_has_been_in_touch_for_long_enough
+  [=[  ArmAt(loop_.Now() + (age_known ? net::Span() : settings_.bounds.drain / kCheckDivisor));]=] "")
+proxy_mutant(a_first_list_stays_unverified stale_list_tolerance
+  a_stale_first_list_is_a_violation_once_the_proxy_has_been_in_touch_long_enough
   tier/proxy/list_fallback.cpp
-  [=[{ was_fresh_ = was_fresh_ || IsFresh(loop_.Now()); }]=] [=[{}]=])
-proxy_mutant(a_first_list_needs_no_check stale_list_excuses
-  no_request_goes_by_a_first_list_before_a_newer_one_was_asked_for
+  [=[{ has_been_fresh_ = has_been_fresh_ || IsFresh(loop_.Now()); }]=] [=[{}]=])
+proxy_mutant(a_first_list_needs_no_verification stale_list_tolerance
+  no_request_uses_a_first_list_before_a_newer_one_was_requested
   tier/proxy/list_fallback.cpp
-  [=[  return !was_fresh_ && now >= resumed_at_ + unbound;]=] [=[  return now < net::Time() + unbound;]=])
-proxy_mutant(an_unknown_fleet_excuses_a_first_list stale_list_excuses
-  no_request_goes_by_a_first_list_before_a_newer_one_was_asked_for
+  [=[  return !has_been_fresh_ && now >= resumed_at_ + startup_grace;]=] [=[  return now < net::Time() + startup_grace;]=])
+proxy_mutant(a_first_list_is_tolerated_in_an_unknown_fleet stale_list_tolerance
+  no_request_uses_a_first_list_before_a_newer_one_was_requested
   tier/proxy/list_fallback.cpp
-  [=[    if (was_fresh_) trouble_seen_at_ = loop_.Now();]=] [=[    trouble_seen_at_ = loop_.Now();]=])
-proxy_mutant(pages_always_hold_fifty stale_list a_drain_binds_with_a_list_of_small_pages
+  [=[    if (has_been_fresh_) platform_failed_at_ = loop_.Now();]=] [=[    platform_failed_at_ = loop_.Now();]=])
+proxy_mutant(pages_always_hold_fifty stale_list a_drain_takes_effect_with_a_list_of_small_pages
   tier/proxy/list_fallback.cpp
-  [=[  entries_of_page_ = entries;]=] "")
-proxy_mutant(silent_readers_are_waited_for stale_list_excuses
-  a_drain_binds_at_proxies_whose_readers_are_all_cut_off
+  [=[  entries_per_page_ = entries;]=] "")
+proxy_mutant(silent_readers_are_waited_for stale_list_tolerance
+  a_drain_takes_effect_at_proxies_whose_readers_are_all_cut_off
   tier/proxy/reader_choice.cpp
-  [=[  if (++failed_in_a_row_ >= OthersInGroup()) GoToNextGroup();]=] "")
-proxy_mutant(a_list_hides_its_readers_trouble stale_list_excuses
-  the_time_stands_still_for_those_that_ask_while_the_platform_is_silent
+  [=[  if (++consecutive_failures_ >= OthersInActiveGroup()) ActivateNextGroup();]=] "")
+proxy_mutant(a_list_hides_its_readers_failure stale_list_tolerance
+  the_drain_limit_is_suspended_for_proxies_that_ask_while_the_platform_is_silent
   tier/proxy/list_fallback.cpp
-  [=[reading.value().in_trouble ? ReaderAnswer::kTrouble : ReaderAnswer::kList;]=]
-  [=[ReaderAnswer::kList;]=])
-proxy_mutant(who_stops_to_read_forgets_the_trouble stale_list_excuses
-  the_time_stands_still_for_who_stops_to_read_as_a_silent_platform_answers_again
+  [=[reading.value().in_trouble ? ReaderAnswer::kPlatformFailing : ReaderAnswer::kNewerList;]=]
+  [=[ReaderAnswer::kNewerList;]=])
+proxy_mutant(a_former_reader_forgets_the_failure stale_list_tolerance
+  the_drain_limit_is_suspended_for_a_former_reader_as_a_silent_platform_answers_again
   tier/proxy/list_fallback.cpp
-  [=[  if (poller_) trouble_seen_at_ = std::max(trouble_seen_at_, poller_->trouble_seen_at());
+  [=[  if (poller_) platform_failed_at_ = std::max(platform_failed_at_, poller_->trouble_seen_at());
 ]=] "")
--- a/tests/tier/proxy/parts_test.cpp
+++ b/tests/tier/proxy/parts_test.cpp
@@ -1,4 +1,4 @@
-// The proxy's pure parts: headers, levels, readiness, answers about batch jobs.
+// Parts of the proxy without I/O: headers, priority levels, readiness, answers about batch jobs.
 #define BOOST_TEST_MODULE proxy_parts
 #include <boost/test/unit_test.hpp>
 
@@ -75,22 +75,22 @@
   good.has_endpoints = true;
   good.had_lease = true;
   good.lease_until = now + milliseconds(10);
-  good.slack = milliseconds(3000);
-  BOOST_TEST(good.Ready(now));
-  BOOST_TEST(good.Ready(now + milliseconds(3009)));
-  BOOST_TEST(!good.Ready(now + milliseconds(3010)));
+  good.contact_slack = milliseconds(3000);
+  BOOST_TEST(good.IsReady(now));
+  BOOST_TEST(good.IsReady(now + milliseconds(3009)));
+  BOOST_TEST(!good.IsReady(now + milliseconds(3010)));
   proxy::Readiness changed = good;
-  changed.leaving = true;
-  BOOST_TEST(!changed.Ready(now));
+  changed.shutting_down = true;
+  BOOST_TEST(!changed.IsReady(now));
   changed = good;
   changed.has_configuration = false;
-  BOOST_TEST(!changed.Ready(now));
+  BOOST_TEST(!changed.IsReady(now));
   changed = good;
   changed.has_endpoints = false;
-  BOOST_TEST(!changed.Ready(now));
+  BOOST_TEST(!changed.IsReady(now));
   changed = good;
   changed.had_lease = false;
-  BOOST_TEST(!changed.Ready(now));
+  BOOST_TEST(!changed.IsReady(now));
 }
 
 BOOST_AUTO_TEST_CASE(pages_of_results) {
--- a/tests/tier/proxy/program_test.cpp
+++ b/tests/tier/proxy/program_test.cpp
@@ -1,4 +1,4 @@
-// The proxy's process beside core processes, a platform, endpoints and clients on the virtual
+// The proxy process with core processes, a platform, an endpoint and clients on the virtual
 // network.
 #define BOOST_TEST_MODULE proxy_program
 #include "tier/proxy/program.h"
@@ -40,7 +40,7 @@
   Tier()
       : rig(3, 0),
         endpoint(rig.net, kEndpointHost, "i-0", Answers("the bytes")),
-        outside(rig.net, 0x0a090001, "clients", 1000),
+        client_process(rig.net, 0x0a090001, "clients", 1000),
         process(rig.net, kHost, "edge-1", 4100),
         program(std::make_unique<shelflink::proxy::Program>(process, SettingsOfProxy())) {
     List(false);
@@ -57,24 +57,24 @@
     rig.Run(seconds(2));
   }
   Message Ask(std::uint16_t port, const std::string& text) {
-    Client client(outside, net::Address::V4(kHost, port));
+    Client client(client_process, net::Address::V4(kHost, port));
     client.Send(text);
     rig.Run(milliseconds(300));
     Message answer = client.Answer();
     client.Leave();
     return answer;
   }
-  Message AskReady() { return Ask(8687, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); }
-  int Ready() { return AskReady().Status(); }
-  std::string ReadyBody() { return AskReady().body; }
-  Message Get() { return Ask(8689, Request("/a/x", "id" + std::to_string(++asked))); }
+  Message GetReady() { return Ask(8687, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); }
+  int Ready() { return GetReady().Status(); }
+  std::string ReadyBody() { return GetReady().body; }
+  Message Get() { return Ask(8689, Request("/a/x", "id" + std::to_string(++request_count))); }
 
   Rig rig;
   Endpoint endpoint;
-  net::VirtualProcess outside;
+  net::VirtualProcess client_process;
   net::VirtualProcess process;
   std::unique_ptr<shelflink::proxy::Program> program;
-  int asked = 0;
+  int request_count = 0;
 };
 
 }  // namespace
@@ -100,13 +100,14 @@
   BOOST_TEST(answer.body == "the bytes");
 }
 
-// The listener of /ready holds no body at all; a head that comes in parts is waited for there too.
+// The ready listener has no budget for bodies, but it must still wait for a head that arrives in
+// parts.
 BOOST_AUTO_TEST_CASE(a_readiness_check_in_two_parts_is_answered) {
   Tier tier;
   tier.Begin();
   const std::string check = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
   for (std::size_t cut = 1; cut < check.size(); ++cut) {
-    Client client(tier.outside, net::Address::V4(kHost, 8687));
+    Client client(tier.client_process, net::Address::V4(kHost, 8687));
     client.Send(check.substr(0, cut));
     tier.rig.Run(milliseconds(500));
     client.Send(check.substr(cut));
@@ -130,7 +131,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(metrics_stand_beside_readiness) {
+BOOST_AUTO_TEST_CASE(the_ready_listener_serves_metrics) {
   Tier tier;
   tier.rig.Run(seconds(1));
   const Message early = tier.Ask(kReadyPort, MetricsRequest("GET"));  // No core yet.
@@ -158,7 +159,7 @@
 BOOST_AUTO_TEST_CASE(metrics_are_read_only) {
   Tier tier;
   tier.Begin();
-  Client client(tier.outside, net::Address::V4(kHost, kReadyPort));
+  Client client(tier.client_process, net::Address::V4(kHost, kReadyPort));
   client.Send(MetricsRequest("HEAD") + "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
   tier.rig.Run(milliseconds(300));
   const std::size_t head_end = client.came.find("\r\n\r\n");
@@ -178,7 +179,7 @@
   tier.Begin();
   const std::string request = MetricsRequest("GET");
   for (std::size_t cut = 1; cut < request.size(); ++cut) {
-    Client client(tier.outside, net::Address::V4(kHost, kReadyPort));
+    Client client(tier.client_process, net::Address::V4(kHost, kReadyPort));
     client.Send(request.substr(0, cut));
     tier.rig.Run(milliseconds(500));
     BOOST_TEST(tier.Ready() == 200);
@@ -189,13 +190,14 @@
   }
 }
 
-// More connections than the listener may have, each left open behind its answer.
-BOOST_AUTO_TEST_CASE(readiness_is_told_whoever_reads_metrics) {
+// More connections than the listener may have, each left open after its response.
+BOOST_AUTO_TEST_CASE(readiness_is_reported_while_many_clients_read_metrics) {
   Tier tier;
   tier.Begin();
   std::vector<std::unique_ptr<Client>> readers;
   for (int i = 0; i < 100; ++i) {
-    readers.push_back(std::make_unique<Client>(tier.outside, net::Address::V4(kHost, kReadyPort)));
+    readers.push_back(
+        std::make_unique<Client>(tier.client_process, net::Address::V4(kHost, kReadyPort)));
     readers.back()->Send(MetricsRequest("GET"));
     if (i % 10 == 9) BOOST_TEST(tier.Ready() == 200);
   }
@@ -203,7 +205,7 @@
   for (const auto& reader : readers) reader->Leave();
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_on_the_platforms_list_binds) {
+BOOST_AUTO_TEST_CASE(a_drain_on_the_platforms_list_takes_effect) {
   Tier tier;
   tier.Begin();
   BOOST_TEST(tier.Get().Status() == 200);
@@ -230,7 +232,7 @@
   BOOST_TEST(tier.Ready() == 200);
 }
 
-BOOST_AUTO_TEST_CASE(says_that_the_disks_of_the_core_refuse) {
+BOOST_AUTO_TEST_CASE(reports_that_the_disks_of_the_core_refuse_writes) {
   Tier tier;
   tier.Begin();
   for (auto& core : tier.rig.cores) core->service().SetDiskCheck([] { return true; });
@@ -245,7 +247,7 @@
   BOOST_TEST(tier.ReadyBody() == "ready\n");
 }
 
-BOOST_AUTO_TEST_CASE(leaves_in_order) {
+BOOST_AUTO_TEST_CASE(shuts_down_in_order) {
   Tier tier;
   tier.Begin();
   tier.endpoint.behaviour = [&](Endpoint::Line& line, const Message& request) {
@@ -253,7 +255,7 @@
     tier.endpoint.Later(milliseconds(700),
                         [&line, kept] { line.Write(Endpoint::Whole(kept, "late")); });
   };
-  Client held(tier.outside, net::Address::V4(kHost, 8689));
+  Client held(tier.client_process, net::Address::V4(kHost, 8689));
   held.Send(Request("/a/x", "held"));
   tier.rig.Run(milliseconds(100));
   bool done = false;
@@ -263,12 +265,12 @@
   const Message answer = held.Answer();
   BOOST_TEST(answer.body == "late");
   BOOST_TEST(answer.Value("Connection") == "close");
-  BOOST_TEST(!done);  // The platform may still send connections.
+  BOOST_TEST(!done);  // The platform may still open connections to this proxy.
   tier.rig.Run(seconds(5));
   BOOST_TEST(done);
 }
 
-BOOST_AUTO_TEST_CASE(leaves_without_a_core_too) {
+BOOST_AUTO_TEST_CASE(shuts_down_without_a_core) {
   Tier tier;
   tier.rig.Run(seconds(1));
   bool done = false;
--- a/tests/tier/proxy/stale_list_scene.h
+++ b/tests/tier/proxy/stale_list_scene.h
@@ -1,5 +1,5 @@
-// Whole proxies beside core processes, a platform, endpoints and clients on the virtual network,
-// for tests of what proxies do while the core's list of endpoints is late.
+// Complete proxies with core processes, a platform, endpoints and clients on the virtual network,
+// for tests of proxies while the core's list of endpoints is late.
 #ifndef SHELFLINK_TESTS_TIER_PROXY_STALE_LIST_SCENE_H_
 #define SHELFLINK_TESTS_TIER_PROXY_STALE_LIST_SCENE_H_
 
@@ -27,11 +27,11 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kDrain{3000};
-constexpr milliseconds kBetweenRequests{50};
+constexpr milliseconds kRequestInterval{50};
 constexpr std::uint32_t kFirstProxyHost = 0x0a020001;
 constexpr std::uint32_t kFirstEndpointHost = 0x0a640001;
 
-// One proxy program on a machine of its own.
+// A proxy on its own host.
 struct Proxy {
   Proxy(Rig& rig, std::uint32_t index, double rate_per_s)
       : host(kFirstProxyHost + index),
@@ -54,9 +54,9 @@
     settings.listen_ready = net::Address::V4(host, 8687);
     return settings;
   }
-  void SetPaused(bool stands) {
-    paused = stands;
-    process.SetPaused(stands);
+  void SetPaused(bool is_paused) {
+    paused = is_paused;
+    process.SetPaused(is_paused);
   }
   net::Address front() const { return net::Address::V4(host, 8689); }
 
@@ -66,7 +66,7 @@
   bool paused = false;
 };
 
-// An endpoint that notes when each request reaches it.
+// An endpoint that records the arrival time of each request.
 struct Server {
   Server(Rig& rig, std::uint32_t index)
       : endpoint(rig.net, kFirstEndpointHost + index, "i-" + std::to_string(index),
@@ -83,18 +83,18 @@
   Endpoint endpoint;
 };
 
-// Violations of invariants since the last look; a test that expects none says so.
+// Returns the invariant violations since the last call. Scene fails the test on any that are left.
 inline std::vector<std::string> TakeViolations() {
-  static std::vector<std::string> seen;
-  static const bool set = [] {
+  static std::vector<std::string> recorded;
+  static const bool is_handler_set = [] {
     shelflink::ProcessInvariants().SetHandler(
         [](shelflink::Invariant invariant, const std::string& detail) {
-          seen.push_back(std::string(shelflink::NameOf(invariant)) + ": " + detail);
+          recorded.push_back(std::string(shelflink::NameOf(invariant)) + ": " + detail);
         });
     return true;
   }();
-  static_cast<void>(set);
-  return std::exchange(seen, {});
+  static_cast<void>(is_handler_set);
+  return std::exchange(recorded, {});
 }
 
 class Scene {
@@ -111,49 +111,50 @@
     rig.net.Clear();
   }
 
-  // Requests at each proxy, evenly spread, until the span is over.
+  // Sends requests to each running proxy at an even rate for the time `span`.
   void Traffic(net::Span span) {
     const net::Time end = rig.net.Now() + span;
     while (rig.net.Now() < end) {
       for (const auto& proxy : proxies) {
         if (!proxy->program || proxy->paused) continue;
-        asked_.push_back(std::make_unique<Client>(clients_, proxy->front()));
-        asked_.back()->Send(Request("/a/x", "id" + std::to_string(++asked_count_)));
+        requests_.push_back(std::make_unique<Client>(clients_, proxy->front()));
+        requests_.back()->Send(Request("/a/x", "id" + std::to_string(++request_count_)));
       }
-      Beside();
-      rig.Run(kBetweenRequests);
+      BetweenRequests();
+      rig.Run(kRequestInterval);
     }
   }
-  // The share of the requests since the last call that were served.
-  double TakeServed() {
+  // The share of the requests since the last call that were answered with status 200.
+  double TakeServedShare() {
     rig.Run(seconds(2));
     std::size_t served = 0;
-    for (const auto& client : asked_) served += client->Answer().Status() == 200 ? 1 : 0;
-    const double share = asked_.empty() ? 0 : double(served) / double(asked_.size());
-    asked_.clear();
+    for (const auto& client : requests_) served += client->Answer().Status() == 200 ? 1 : 0;
+    const double share = requests_.empty() ? 0 : double(served) / double(requests_.size());
+    requests_.clear();
     return share;
   }
-  // The platform's list shows the first endpoint as draining from now on.
-  net::Time DrainFirst() {
+  // Marks the first endpoint as draining in the platform's list; returns the time.
+  net::Time DrainFirstEndpoint() {
     rig.platform.list[0].draining = true;
     return rig.net.Now();
   }
-  // Traffic over the drain of the first endpoint, which must end in time and harm nobody.
-  void CheckDrainBinds() {
+  // Drains the first endpoint under traffic: requests to it must end within `drainMs`, and nearly
+  // all requests must be served.
+  void CheckDrainTakesEffect() {
     BOOST_TEST(servers[0]->arrivals.size() > 0U);
-    const net::Time shown = DrainFirst();
+    const net::Time drain_shown_at = DrainFirstEndpoint();
     Traffic(kDrain);
-    TakeServed();
+    TakeServedShare();
     Traffic(seconds(4));
-    BOOST_TEST(servers[0]->ArrivalsAfter(shown + kDrain) == 0U);
-    BOOST_TEST(TakeServed() > 0.99);
-    const net::Span last = servers[0]->arrivals.back() - shown;
+    BOOST_TEST(servers[0]->ArrivalsAfter(drain_shown_at + kDrain) == 0U);
+    BOOST_TEST(TakeServedShare() > 0.99);
+    const net::Span last_arrival = servers[0]->arrivals.back() - drain_shown_at;
     BOOST_TEST_MESSAGE("the last request came "
-                       << std::chrono::duration_cast<milliseconds>(last).count()
+                       << std::chrono::duration_cast<milliseconds>(last_arrival).count()
                        << " ms after the drain was shown");
   }
-  // Endpoints of another service, so that the list has more pages.
-  void AddOthers(std::size_t count) {
+  // Adds endpoints of another service, so that the list has more pages.
+  void AddOtherEndpoints(std::size_t count) {
     for (std::size_t number = 0; number < count; ++number) {
       const auto host = 0x0a700001 + static_cast<std::uint32_t>(number);
       rig.platform.list.push_back({"other-" + std::to_string(number), "small",
@@ -163,7 +164,8 @@
     rig.platform.page_size = 50;
   }
 
-  std::uint64_t ListCalls(net::Span span) {
+  // Runs for the time `span` and counts the calls for the platform's list.
+  std::uint64_t CountListCalls(net::Span span) {
     const std::uint64_t before = rig.platform.list_calls;
     rig.Run(span);
     return rig.platform.list_calls - before;
@@ -174,7 +176,7 @@
   std::vector<std::unique_ptr<Proxy>> proxies;
 
  protected:
-  // Without a core: whoever derives from it starts one.
+  // Does not start the core processes; the derived class does.
   struct NotStarted {};
   Scene(NotStarted, std::uint32_t proxy_count, std::uint64_t seed, double rate_per_s)
       : rig(3, 0, 0, seed), clients_(rig.net, 0x0a090001, "clients", 60000) {
@@ -189,13 +191,13 @@
     }
     TakeViolations();
   }
-  // Between two requests of Traffic.
-  virtual void Beside() {}
+  // Called by Traffic after each round of requests.
+  virtual void BetweenRequests() {}
 
  private:
   net::VirtualProcess clients_;
-  std::vector<std::unique_ptr<Client>> asked_;
-  int asked_count_ = 0;
+  std::vector<std::unique_ptr<Client>> requests_;
+  int request_count_ = 0;
 };
 
 }  // namespace stale_list
--- a/tests/tier/proxy/stale_list_test.cpp
+++ b/tests/tier/proxy/stale_list_test.cpp
@@ -1,7 +1,7 @@
-// The rule DRAIN while control stands still: whole proxies beside core processes, a platform,
-// endpoints and clients on the virtual network. Whatever stops the way from the platform's list
-// over the core to a proxy, no request reaches an endpoint later than `drainMs` after the list
-// showed it as draining, and requests are served by the other endpoints meanwhile.
+// The rule DRAIN while the control plane is unavailable: complete proxies with core processes, a
+// platform, endpoints and clients on the virtual network. Whatever interrupts the path of the
+// platform's list over the core to a proxy, no request reaches an endpoint later than `drainMs`
+// after the list showed it as draining, and the other endpoints serve requests meanwhile.
 #define BOOST_TEST_MODULE proxy_stale_list
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -11,7 +11,7 @@
 #include "cluster/group_rig.h"
 #include "emulator/random.h"
 #include "proxy/stale_list_scene.h"
-#include "tier/proxy/list_times.h"
+#include "tier/proxy/list_fallback_timing.h"
 #include "tier/proxy/reading_plan.h"
 
 using shelflink::cluster::EndpointEntry;
@@ -30,32 +30,33 @@
 
 enum class SlowDisk { kPrimary, kBackup, kAll };
 
-// Core processes on disks of their own, and an operator whose orders make them commit. A process
-// stands still while it commits.
+// Core processes with disks of their own and regular changes of the configuration that make them
+// commit. A process is blocked while it commits.
 class DiskScene : public Scene {
  public:
   explicit DiskScene(std::uint64_t seed) : DiskScene(seed, seconds(3)) {
     rig.Run(seconds(1));
-    Order();
+    ChangeConfiguration();
     rig.Run(seconds(1));
   }
-  // The first order comes so long after the start; the proxies are ready.
-  DiskScene(std::uint64_t seed, net::Span first_order) : Scene(NotStarted(), 5, seed, 40) {
+  // `first_change_after`: time from the start to the first change. Returns once the proxies are
+  // ready.
+  DiskScene(std::uint64_t seed, net::Span first_change_after) : Scene(NotStarted(), 5, seed, 40) {
     for (const auto& core : rig.cores) {
       cores.push_back(
           std::make_unique<GroupCore>(rig.net, core->host(), core->settings(), rig.platform));
       cores.back()->commit_takes = [] { return kUsualCommit; };
       cores.back()->Start();
     }
-    rig.Run(first_order);
+    rig.Run(first_change_after);
     while (Primary() == nullptr) rig.Run(milliseconds(1));
-    Order();
+    ChangeConfiguration();
     const auto is_ready = [](const auto& proxy) { return proxy->program->ready(); };
     BOOST_REQUIRE(rig.RunUntil(
         [&] { return std::all_of(proxies.begin(), proxies.end(), is_ready); }, seconds(2)));
   }
 
-  // From now on; where the primary or a backup is to be slow, who is that now.
+  // Sets how long commits take from now on. kPrimary and kBackup mean the current roles.
   void SlowDown(SlowDisk which, const std::function<net::Span()>& commit_takes) {
     GroupCore* primary = Primary();
     BOOST_REQUIRE(primary != nullptr);
@@ -80,7 +81,7 @@
 
  private:
   static constexpr milliseconds kUsualCommit{5};
-  static constexpr milliseconds kBetweenOrders{300};
+  static constexpr milliseconds kChangeInterval{300};
 
   GroupCore* Primary() {
     for (const auto& core : cores) {
@@ -88,13 +89,13 @@
     }
     return nullptr;
   }
-  void Beside() override {
-    if (rig.net.Now() < next_order_) return;
-    next_order_ = rig.net.Now() + kBetweenOrders;
-    Order();
+  void BetweenRequests() override {
+    if (rig.net.Now() < next_change_) return;
+    next_change_ = rig.net.Now() + kChangeInterval;
+    ChangeConfiguration();
   }
-  // A change of the newest configuration that the primary knows; whether it is taken is not asked.
-  void Order() {
+  // Changes the newest configuration that the primary knows; the result does not matter.
+  void ChangeConfiguration() {
     GroupCore* primary = Primary();
     if (primary == nullptr) return;
     const auto newest = shelflink::configuration::CurrentConfiguration(primary->group().contents());
@@ -105,56 +106,56 @@
   }
 
   std::vector<std::unique_ptr<GroupCore>> cores;
-  net::Time next_order_{};
+  net::Time next_change_{};
   std::size_t slow_commits_ = 0;
 };
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(a_drain_binds_while_control_works) {
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_while_the_core_works) {
   Scene scene;
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_binds_without_any_core_process) {
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_without_any_core_process) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       Scene scene(4, seed);
       scene.Traffic(seconds(1));
       for (auto& core : scene.rig.cores) core->Stop();
       scene.Traffic(seconds(1));
-      scene.CheckDrainBinds();
+      scene.CheckDrainTakesEffect();
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_binds_while_no_core_process_is_primary) {
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_while_no_core_process_is_primary) {
   Scene scene;
   scene.Traffic(seconds(1));
   scene.rig.map.Elect(nullptr);
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_binds_while_the_primary_does_not_reach_the_platform) {
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_while_the_primary_does_not_reach_the_platform) {
   Scene scene;
   scene.Traffic(seconds(1));
   scene.rig.platform.cut_off = {&scene.rig.cores[0]->process()};
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_binds_while_the_core_stands_still) {
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_while_the_core_is_paused) {
   Scene scene;
   scene.Traffic(seconds(1));
   for (auto& core : scene.rig.cores) core->process().SetPaused(true);
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-// A commit holds up its process, and with it the lists that this one reads and publishes.
-BOOST_AUTO_TEST_CASE(a_drain_binds_while_disks_of_the_core_take_seconds_to_sync) {
+// A commit blocks its process, which delays the lists that the process reads and publishes.
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_while_disks_of_the_core_take_seconds_to_sync) {
   for (const SlowDisk which : {SlowDisk::kPrimary, SlowDisk::kBackup, SlowDisk::kAll}) {
     for (const int takes_ms : {1000, 2000, 3000, 4000}) {
       for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -163,7 +164,7 @@
           scene.Traffic(milliseconds(1000 + 170 * seed));
           scene.SlowDown(which, [takes_ms] { return milliseconds(takes_ms); });
           scene.Traffic(milliseconds(250 * (seed - 1)));
-          scene.CheckDrainBinds();
+          scene.CheckDrainTakesEffect();
           BOOST_TEST(scene.slow_commits() > 0U);
         }
       }
@@ -171,41 +172,44 @@
   }
 }
 
-// Soon after the first start of all processes, too.
-BOOST_AUTO_TEST_CASE(a_drain_binds_while_disks_of_a_core_that_has_just_begun_take_seconds_to_sync) {
+// The same soon after the first start of all processes.
+BOOST_AUTO_TEST_CASE(
+    a_drain_takes_effect_while_disks_of_a_core_that_has_just_started_take_seconds_to_sync) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       DiskScene scene(seed, net::Span());
       scene.Traffic(milliseconds(100 * seed));
       scene.SlowDown(SlowDisk::kAll, [] { return seconds(4); });
-      scene.CheckDrainBinds();
+      scene.CheckDrainTakesEffect();
       BOOST_TEST(scene.slow_commits() > 0U);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_binds_with_small_pages_while_some_commits_of_the_core_take_seconds) {
-  constexpr std::uint64_t kSlowInHundred = 30;
+BOOST_AUTO_TEST_CASE(
+    a_drain_takes_effect_with_small_pages_while_some_commits_of_the_core_take_seconds) {
+  constexpr std::uint64_t kSlowCommitPercent = 30;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       shelflab::Random random(seed, 0x736c6f77);
       DiskScene scene(seed);
-      scene.AddOthers(17);
+      scene.AddOtherEndpoints(17);
       scene.rig.platform.page_size = 4;
       scene.Traffic(milliseconds(2000 + 70 * seed));
       scene.SlowDown(SlowDisk::kAll, [&random] {
-        const bool slow = random.Below(100) < kSlowInHundred;
+        const bool slow = random.Below(100) < kSlowCommitPercent;
         return milliseconds(slow ? 1000 + random.Below(3000) : 5);
       });
       scene.Traffic(milliseconds(100 * seed));
-      scene.CheckDrainBinds();
+      scene.CheckDrainTakesEffect();
       BOOST_TEST(scene.slow_commits() > 0U);
     }
   }
 }
 
-// In turn each proxy of a zone, and so the one that passes parts of the view on to the others.
-BOOST_AUTO_TEST_CASE(a_drain_binds_while_a_relay_stands_still) {
+// Pauses one proxy of each zone at a time, each of them once, and so also the one that relays parts
+// of the view to the others of its zone.
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_while_a_relay_is_paused) {
   for (std::size_t paused = 0; paused < 6; paused += 2) {
     BOOST_TEST_CONTEXT("paused from " << paused) {
       Scene scene(6);
@@ -213,47 +217,49 @@
       scene.proxies[paused]->SetPaused(true);
       scene.proxies[paused + 1]->SetPaused(true);
       scene.Traffic(seconds(1));
-      scene.CheckDrainBinds();
+      scene.CheckDrainTakesEffect();
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_binds_soon_after_a_platform_that_was_silent_answers_again) {
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_soon_after_a_platform_that_was_silent_answers_again) {
   Scene scene;
   scene.Traffic(seconds(1));
   scene.rig.platform.silent = true;
   scene.Traffic(milliseconds(5500));
   scene.rig.platform.silent = false;
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-// Slower than an answer is waited for before the next call.
+// Answers take longer than the timeout after which the next call is made.
 BOOST_AUTO_TEST_CASE(the_list_of_a_slow_platform_is_read) {
   Scene scene;
   scene.rig.platform.list_takes = seconds(2);
   scene.rig.Run(seconds(3));
   scene.Traffic(seconds(1));
-  const net::Time shown = scene.DrainFirst();
+  const net::Time drain_shown_at = scene.DrainFirstEndpoint();
   scene.Traffic(seconds(6));
-  BOOST_TEST(scene.servers[0]->ArrivalsAfter(shown + seconds(4)) == 0U);
+  BOOST_TEST(scene.servers[0]->ArrivalsAfter(drain_shown_at + seconds(4)) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_binds_in_a_larger_fleet_with_a_list_of_three_pages) {
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_in_a_larger_fleet_with_a_list_of_three_pages) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       Scene scene(20, seed, 44);
-      scene.AddOthers(140);
+      scene.AddOtherEndpoints(140);
       scene.Traffic(milliseconds(2000 + 150 * seed));
       for (auto& core : scene.rig.cores) core->Stop();
-      scene.Traffic(milliseconds(300 * (seed - 1)));  // At first none: the drain is shown at once.
-      scene.CheckDrainBinds();
-      BOOST_TEST(scene.ListCalls(seconds(10)) <= 176U + 4U);  // 0.4 of the rate; one begun of each.
+      // With the first seed, the drain is shown immediately after the core has stopped.
+      scene.Traffic(milliseconds(300 * (seed - 1)));
+      scene.CheckDrainTakesEffect();
+      // 0.4 of the rate limit, and one more call of each reader.
+      BOOST_TEST(scene.CountListCalls(seconds(10)) <= 176U + 4U);
     }
   }
 }
 
-// Fewer proxies read than there are: the others ask them, and go on to the next where one is gone.
-BOOST_AUTO_TEST_CASE(a_drain_binds_at_proxies_that_ask_those_that_read) {
+// Only some of the proxies read. The others ask them, and ask the next reader if one is gone.
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_at_proxies_that_ask_the_readers) {
   for (const bool first_reader_ends : {false, true}) {
     BOOST_TEST_CONTEXT("first reader ends: " << first_reader_ends) {
       Scene scene(6, 1, 9);
@@ -264,36 +270,37 @@
         scene.proxies[0]->program.reset();
       }
       scene.Traffic(seconds(1));
-      scene.CheckDrainBinds();
-      BOOST_TEST(scene.ListCalls(seconds(10)) <= 36U);  // 0.4 of the rate.
+      scene.CheckDrainTakesEffect();
+      BOOST_TEST(scene.CountListCalls(seconds(10)) <= 36U);  // 0.4 of the rate limit.
     }
   }
 }
 
-// Only one proxy may read at this rate, and control stands still: once that one is gone, another
-// takes its place.
-BOOST_AUTO_TEST_CASE(a_drain_binds_after_the_only_proxy_that_reads_has_ended) {
+// Only one proxy may read at this rate, and there is no primary: once that proxy has ended, another
+// one reads instead.
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_after_the_only_reader_has_ended) {
   Scene scene(6, 1, 5);
   scene.Traffic(seconds(1));
   scene.rig.map.Elect(nullptr);
   scene.proxies[0]->process.Kill();
   scene.proxies[0]->program.reset();
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-// The reader itself is well and does not reach the platform.
-BOOST_AUTO_TEST_CASE(a_drain_binds_while_the_only_proxy_that_reads_does_not_reach_the_platform) {
+// The reader works, but cannot reach the platform.
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_while_the_only_reader_cannot_reach_the_platform) {
   Scene scene(6, 1, 5);
   scene.Traffic(seconds(1));
   scene.rig.map.Elect(nullptr);
   scene.rig.platform.cut_off = {&scene.proxies[0]->process};
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-// The drain is shown in the moment in which control and the only reader end, at any time of a walk.
-BOOST_AUTO_TEST_CASE(a_drain_binds_that_is_shown_as_the_only_proxy_that_reads_ends) {
+// The drain is shown at the same time as the primary is lost and the only reader ends, or loses the
+// platform, at different times of a walk.
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_that_is_shown_as_the_only_reader_ends) {
   for (const int later_ms : {0, 190, 380, 570}) {
     for (const bool ends : {false, true}) {
       BOOST_TEST_CONTEXT("later by " << later_ms << " ms, ends: " << ends) {
@@ -306,42 +313,43 @@
         } else {
           scene.rig.platform.cut_off = {&scene.proxies[0]->process};
         }
-        scene.CheckDrainBinds();
+        scene.CheckDrainTakesEffect();
       }
     }
   }
 }
 
-// Who stands in stops once the first reader is back; none of them reads beyond the share.
-BOOST_AUTO_TEST_CASE(who_stands_in_for_a_reader_keeps_within_the_rate_and_stops_once_it_is_back) {
-  constexpr std::uint64_t kMostCalls = 20 + 1;  // 0.4 of the rate, and one begun.
+// A standby reader stops once the first reader is back; neither exceeds the share of the rate
+// limit.
+BOOST_AUTO_TEST_CASE(a_standby_reader_keeps_within_the_rate_and_stops_once_the_reader_is_back) {
+  constexpr std::uint64_t kMaxCalls = 20 + 1;  // 0.4 of the rate limit, and one more.
   Scene scene(6, 1, 5);
   for (auto& core : scene.rig.cores) core->Stop();
   scene.proxies[0]->SetPaused(true);
   scene.rig.Run(seconds(5));
-  const std::uint64_t calls = scene.ListCalls(seconds(10));
+  const std::uint64_t calls = scene.CountListCalls(seconds(10));
   BOOST_TEST(calls >= 10U);
-  BOOST_TEST(calls <= kMostCalls);
+  BOOST_TEST(calls <= kMaxCalls);
   scene.proxies[0]->SetPaused(false);
   scene.rig.Run(seconds(3));
-  BOOST_TEST(scene.ListCalls(seconds(10)) <= kMostCalls);
+  BOOST_TEST(scene.CountListCalls(seconds(10)) <= kMaxCalls);
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-// A platform that fails is asked by the readers and those that stand in once, not by the fleet.
+// A platform that fails is asked by the readers and one group of standby readers, not by the fleet.
 BOOST_AUTO_TEST_CASE(a_platform_that_fails_is_not_asked_by_the_whole_fleet) {
   Scene scene(8, 1, 5);
   for (auto& core : scene.rig.cores) core->Stop();
   scene.rig.platform.up = false;
   scene.rig.Run(seconds(5));
-  BOOST_TEST(scene.ListCalls(seconds(10)) <= 2U * (20U + 1U));  // Twice 0.4 of the rate.
+  BOOST_TEST(scene.CountListCalls(seconds(10)) <= 2U * (20U + 1U));  // Twice 0.4 of the rate limit.
 }
 
-// They have come within the moment between two lists of members, and control stands still since.
-BOOST_AUTO_TEST_CASE(proxies_that_the_list_of_members_does_not_name_ask_those_that_it_names) {
+// The proxies have started between two lists of members, and the core has stopped since.
+BOOST_AUTO_TEST_CASE(proxies_missing_from_the_list_of_members_ask_those_that_it_names) {
   Scene scene(1);
-  scene.AddOthers(8);
+  scene.AddOtherEndpoints(8);
   scene.rig.platform.page_size = 4;
   scene.rig.Run(seconds(2));
   for (std::uint32_t index = 1; index < 8; ++index) {
@@ -350,84 +358,85 @@
   scene.rig.Run(milliseconds(100));
   for (auto& core : scene.rig.cores) core->Stop();
   scene.rig.Run(seconds(4));
-  BOOST_TEST(scene.ListCalls(seconds(10)) <= 160U + 8U);  // 0.4 of the rate; one begun of each.
+  // 0.4 of the rate limit, and one more call of each proxy.
+  BOOST_TEST(scene.CountListCalls(seconds(10)) <= 160U + 8U);
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-// Six pages: two readers, whose walks take as long as the plan allows.
-BOOST_AUTO_TEST_CASE(a_drain_binds_with_a_list_of_six_pages) {
+// Six pages: two readers, whose walks take as long as the reading plan allows.
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_with_a_list_of_six_pages) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       Scene scene(8, seed, 44);
-      scene.AddOthers(290);
+      scene.AddOtherEndpoints(290);
       scene.Traffic(milliseconds(2000 + 130 * seed));
       for (auto& core : scene.rig.cores) core->Stop();
-      scene.CheckDrainBinds();
+      scene.CheckDrainTakesEffect();
     }
   }
 }
 
-// The protocol does not say how many entries a page holds: with four, five pages are walked here.
-BOOST_AUTO_TEST_CASE(a_drain_binds_with_a_list_of_small_pages) {
+// The protocol does not say how many entries a page has; with four, the list has five pages.
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_with_a_list_of_small_pages) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       Scene scene(5, seed, 40);
-      scene.AddOthers(17);
+      scene.AddOtherEndpoints(17);
       scene.rig.platform.page_size = 4;
       scene.Traffic(milliseconds(2000 + 130 * seed));
       scene.rig.map.Elect(nullptr);
-      scene.CheckDrainBinds();
+      scene.CheckDrainTakesEffect();
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(no_proxy_reads_while_the_core_does) {
   Scene scene;
-  BOOST_TEST(scene.ListCalls(seconds(9)) <= 13U);  // One each 750 ms, by the primary.
+  BOOST_TEST(scene.CountListCalls(seconds(9)) <= 13U);  // The primary makes one call each 750 ms.
   const net::Time now = scene.rig.net.Now();
   for (const auto& proxy : scene.proxies) {
     BOOST_TEST((proxy->program->endpoints_read_at() + kDrain / 2 >= now));
   }
 }
 
-BOOST_AUTO_TEST_CASE(proxies_stop_to_read_once_the_core_does) {
+BOOST_AUTO_TEST_CASE(proxies_stop_reading_once_the_core_reads) {
   Scene scene;
   scene.rig.map.Elect(nullptr);
   scene.rig.Run(seconds(4));
-  BOOST_TEST(scene.ListCalls(seconds(9)) > 26U);
+  BOOST_TEST(scene.CountListCalls(seconds(9)) > 26U);
   scene.rig.Elect(1);
   scene.rig.Run(seconds(4));
-  BOOST_TEST(scene.ListCalls(seconds(9)) <= 13U);
+  BOOST_TEST(scene.CountListCalls(seconds(9)) <= 13U);
   scene.Traffic(seconds(1));
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
 BOOST_AUTO_TEST_CASE(proxies_keep_within_their_share_of_the_rate) {
   Scene scene(11, 1, 10);
   for (auto& core : scene.rig.cores) core->Stop();
   scene.rig.Run(seconds(4));
-  BOOST_TEST(scene.ListCalls(seconds(10)) <=
-             43U);  // 0.4 of the rate, and one begun of each reader.
+  BOOST_TEST(scene.CountListCalls(seconds(10)) <=
+             43U);  // 0.4 of the rate limit, and one more call of each reader.
 }
 
-// The rule's time stands still then: requests go on by what is known.
+// The time limit of drains is suspended then, and requests use the last known list.
 BOOST_AUTO_TEST_CASE(requests_go_on_while_neither_core_nor_platform_answers) {
   Scene scene;
   for (auto& core : scene.rig.cores) core->Stop();
   scene.rig.platform.up = false;
   scene.rig.Run(seconds(5));
   scene.Traffic(seconds(5));
-  BOOST_TEST(scene.TakeServed() > 0.99);
+  BOOST_TEST(scene.TakeServedShare() > 0.99);
   scene.rig.platform.up = true;
-  scene.CheckDrainBinds();
+  scene.CheckDrainTakesEffect();
 }
 
-BOOST_AUTO_TEST_CASE(a_proxy_that_stood_still_binds_by_the_list_soon) {
+BOOST_AUTO_TEST_CASE(a_drain_takes_effect_soon_after_a_paused_proxy_resumes) {
   Scene scene;
   scene.Traffic(seconds(1));
   for (const auto& proxy : scene.proxies) proxy->SetPaused(true);
-  scene.DrainFirst();
+  scene.DrainFirstEndpoint();
   scene.rig.Run(seconds(8));
   for (const auto& proxy : scene.proxies) proxy->SetPaused(false);
   const net::Time resumed = scene.rig.net.Now();
@@ -435,8 +444,8 @@
   BOOST_TEST(scene.servers[0]->ArrivalsAfter(resumed + milliseconds(500)) == 0U);
 }
 
-// A list older than a drain without an excuse is told at the send that goes by it.
-// A process that stood still a moment ago is excused, and its items wait.
+// A request sent by a list older than `drainMs` without a permitted reason is reported as a
+// violation. After a process has resumed, its requests are permitted and its batch items wait.
 BOOST_AUTO_TEST_CASE(a_send_by_a_stale_list_is_a_violation_and_items_wait_for_a_renewal) {
   stand_in::World world;
   auto state = shelflink::proxy::ListState::kStale;
@@ -492,7 +501,7 @@
   BOOST_TEST(TakeViolations().empty());
 }
 
-BOOST_AUTO_TEST_CASE(readers_and_their_pace_follow_from_the_rate) {
+BOOST_AUTO_TEST_CASE(readers_and_their_shares_follow_from_the_rate) {
   const auto plan = [](double rate, std::size_t endpoints, std::size_t proxies) {
     return shelflink::proxy::PlanReading(rate, kDrain, endpoints, proxies);
   };
@@ -508,23 +517,23 @@
   }
 }
 
-// Renewals become rarer in large fleets; what is left of a drain must do for the walk all the same.
+// Renewal intervals grow with the fleet; the rest of `drainMs` must still suffice for a walk.
 BOOST_AUTO_TEST_CASE(a_late_list_is_read_within_a_drain_whatever_the_renewals_interval) {
   for (const milliseconds drain : {milliseconds(600), kDrain, milliseconds(30000)}) {
     for (const milliseconds interval : {drain / 6, drain / 3, drain}) {
-      const net::Span late = shelflink::proxy::LateAfter(drain, interval);
-      const net::Span slots = drain / shelflink::proxy::kSlotsPart;
-      const net::Span walk = drain / shelflink::proxy::kWalkPart;
-      const net::Span fetch = drain / shelflink::proxy::kFetchPart;
+      const net::Span late = shelflink::proxy::LateThreshold(drain, interval);
+      const net::Span slots = drain / shelflink::proxy::kStartSpreadDivisor;
+      const net::Span walk = drain / shelflink::proxy::kWalkDivisor;
+      const net::Span fetch = drain / shelflink::proxy::kFetchTimeoutDivisor;
       BOOST_TEST((late + slots + walk + fetch < drain));
       BOOST_TEST((late >= drain / 2));
     }
   }
-  BOOST_TEST((shelflink::proxy::LateAfter(kDrain, milliseconds(500)) == milliseconds(1750)));
+  BOOST_TEST((shelflink::proxy::LateThreshold(kDrain, milliseconds(500)) == milliseconds(1750)));
 }
 
-// The list that shows the drain is read while the primary's lease has lapsed; the lease is back
-// before the primary is told of another role.
+// The list that shows the drain is read while the primary's lease has lapsed. The lease is valid
+// again before the primary is notified of a change of its role.
 BOOST_AUTO_TEST_CASE(a_list_that_was_read_while_the_lease_had_lapsed_is_published) {
   Rig rig(3, 1);
   rig.platform.list = {{"i-0", "big", net::Address::V4(kFirstEndpointHost, 8080), "zone-0", 8,
@@ -540,8 +549,9 @@
   BOOST_TEST(rig.proxies[0]->agent().view().endpoints->entries[0].draining);
 }
 
-// The primary stands still between two looks at its lease while it handles a renewal.
-BOOST_AUTO_TEST_CASE(no_age_is_told_of_a_list_that_the_lease_ended_too_early_to_publish) {
+// The primary is paused between two checks of its lease while it handles a renewal, and the lease
+// lapses meanwhile.
+BOOST_AUTO_TEST_CASE(no_age_is_reported_of_a_list_that_the_lease_ended_too_early_to_publish) {
   TakeViolations();
   Rig rig(3, 2);
   rig.platform.list = {{"i-0", "big", net::Address::V4(kFirstEndpointHost, 8080), "zone-0", 8,
@@ -550,7 +560,7 @@
   rig.Run(seconds(3));
   const auto primary = std::exchange(rig.map.primary, nullptr);
   rig.platform.list[0].draining = true;
-  const net::Time shown = rig.net.Now();
+  const net::Time drain_shown_at = rig.net.Now();
   rig.Run(milliseconds(800));  // One walk at least.
   rig.map.primary = primary;
   for (int asked = 2; asked <= 12; ++asked) {
@@ -558,7 +568,7 @@
     rig.Run(milliseconds(150));
     for (const auto& proxy : rig.proxies) {
       const bool held = proxy->agent().view().endpoints->entries[0].draining;
-      BOOST_TEST((held || proxy->agent().endpoints_read_at() <= shown));
+      BOOST_TEST((held || proxy->agent().endpoints_read_at() <= drain_shown_at));
     }
   }
   rig.map.asked_until_lapse = -1;
@@ -567,8 +577,9 @@
   BOOST_TEST(TakeViolations().empty());
 }
 
-// Lists come by more than one way: what shows an endpoint as ready may have been read earlier.
-BOOST_AUTO_TEST_CASE(what_was_seen_draining_stays_draining) {
+// Lists arrive by several paths: one that shows an endpoint as ready may have been read earlier
+// than one that showed it as draining.
+BOOST_AUTO_TEST_CASE(an_endpoint_seen_draining_stays_draining) {
   stand_in::World world;
   Endpoint& endpoint = world.Add(stand_in::Answers("x"));
   endpoint.draining = true;
@@ -580,8 +591,8 @@
   BOOST_TEST(endpoint.requests.empty());
 }
 
-// Also where a list between had it no more.
-BOOST_AUTO_TEST_CASE(what_was_seen_draining_stays_draining_beyond_its_end) {
+// The same if a list in between does not contain the endpoint.
+BOOST_AUTO_TEST_CASE(an_endpoint_seen_draining_stays_draining_after_its_removal) {
   stand_in::World world;
   Endpoint& endpoint = world.Add(stand_in::Answers("x"));
   endpoint.draining = true;
@@ -598,8 +609,8 @@
 
 namespace {
 
-// Tells the world's list with so many others in it, all of them draining.
-void TellWithOthers(stand_in::World& world, std::uint32_t others) {
+// Publishes the world's list with `others` additional endpoints, all of them draining.
+void PublishWithOthers(stand_in::World& world, std::uint32_t others) {
   auto list = std::make_shared<shelflink::cluster::EndpointList>(*world.view.endpoints);
   for (std::uint32_t index = 0; index < others; ++index) {
     EndpointEntry entry;
@@ -615,10 +626,11 @@
 
 }  // namespace
 
-// Whoever leaves meanwhile: one that is listed again is not among the departed any more.
+// An endpoint that is listed again is not among the removed ones any more, however many others are
+// removed.
 BOOST_AUTO_TEST_CASE(
-    what_was_seen_draining_and_is_listed_again_is_not_forgotten_with_the_departed) {
-  constexpr std::uint32_t kMoreThanAreRemembered = 4097;
+    a_draining_endpoint_that_is_listed_again_is_not_forgotten_with_the_removed_ones) {
+  constexpr std::uint32_t kMoreThanRememberedDeparted = 4097;
   stand_in::World world;
   Endpoint& endpoint = world.Add(stand_in::Answers("x"));
   endpoint.draining = true;
@@ -628,16 +640,17 @@
   endpoint.crashed = false;
   endpoint.draining = false;
   world.Tell();
-  TellWithOthers(world, kMoreThanAreRemembered);
-  world.Tell();  // The others have left.
+  PublishWithOthers(world, kMoreThanRememberedDeparted);
+  world.Tell();  // The others are removed.
   world.Tell();
   auto client = world.Ask(Request("/get/a", "01"));
   world.Run(milliseconds(500));
   BOOST_TEST(endpoint.requests.empty());
 }
 
-// What checks itself: a connection comes up after the drain, and would carry the request.
-BOOST_AUTO_TEST_CASE(a_send_to_what_was_seen_draining_is_a_violation) {
+// A connection is being opened when the drain is shown and would carry the request once it is open.
+// Sending it would be a violation of the invariant that draining endpoints stay draining.
+BOOST_AUTO_TEST_CASE(a_connection_that_opens_after_the_drain_carries_no_request) {
   TakeViolations();
   stand_in::World world;
   Endpoint& endpoint = world.Add(stand_in::Answers("x"));
