--- a/src/tier/programs/control_main.cpp
+++ b/src/tier/programs/control_main.cpp
@@ -1,8 +1,9 @@
-// shelflink-control: the control plane's binary. `core` serves the operator and the cluster,
-// `store` keeps batch jobs, each until SIGTERM; SIGHUP reads the settings file again. Exit codes: 0
-// left in order; 1 settings or addresses that cannot be used, for `core` also a disk that it may
-// not use (a disk that is full, or any of a `store`, is tried again); 2 usage. `status` asks a core
-// process and ends: 0 everything has its copies, 1 something lacks them, 2 that cannot be told.
+// shelflink-control: the binary of the control plane. `core` serves operators and the cluster,
+// `store` keeps batch jobs; both run until SIGTERM, and SIGHUP reloads the settings file. Exit
+// codes: 0 orderly shutdown; 1 invalid settings or addresses, for `core` also a disk that it must
+// not use (a full disk is retried, and so is any fault of the disk of a `store`); 2 usage. `status`
+// asks a core process and ends: 0 everything is fully replicated, 1 something is under-replicated,
+// 2 unknown.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -20,9 +21,9 @@
 
 namespace {
 
-constexpr int kBadSettings = 1;
-constexpr int kUsage = 2;
-constexpr int kLongestTimeoutMs = 60000;
+constexpr int kExitBadSettings = 1;
+constexpr int kExitUsage = 2;
+constexpr int kMaxTimeoutMs = 60000;
 
 using RunProcess = int (*)(const shelflink::ProcessSettings&, net::GlibLoop&);
 
@@ -30,14 +31,14 @@
   const char* path = std::getenv("SHELFLINK_CONFIG");
   if (path == nullptr || *path == '\0') {
     std::cerr << "shelflink-control: SHELFLINK_CONFIG: expected the path of the settings file\n";
-    return kBadSettings;
+    return kExitBadSettings;
   }
   const auto settings = shelflink::ReadSettings(path);
   if (!settings) {
     for (const shelflink::Finding& finding : settings.error()) {
       std::cerr << "shelflink-control: " << finding.place << ": " << finding.expected << '\n';
     }
-    return kBadSettings;
+    return kExitBadSettings;
   }
   shelflink::log::Start(settings.value().node, shelflink::log::Level::kInfo);
   net::GlibLoop loop;
@@ -47,8 +48,8 @@
 const CLI::App* AddStatus(CLI::App& app, shelflink::programs::StatusOptions& options) {
   CLI::App* status = app.add_subcommand(
       "status",
-      "Print who holds copies of what, and how long there were too few; exit status 0: everything "
-      "has its copies, 1: something lacks them, 2: that cannot be told");
+      "Print which processes hold copies of what, and how long copies were missing; exit status 0: "
+      "everything is fully replicated, 1: something is under-replicated, 2: unknown");
   status->add_option("--address", options.addresses,
                      "listen.control of a core process, ADDRESS:PORT; may be given again. Without "
                      "it: listen.control and seeds of the file named by SHELFLINK_CONFIG");
@@ -56,10 +57,10 @@
       ->add_option_function<int>(
           "--timeout-ms",
           [&options](int millis) { options.timeout = std::chrono::milliseconds(millis); },
-          "Longest time that a core process may take to answer")
-      ->check(CLI::Range(1, kLongestTimeoutMs))
+          "Longest time to wait for the answer of a core process")
+      ->check(CLI::Range(1, kMaxTimeoutMs))
       ->default_str(std::to_string(options.timeout.count()));
-  status->add_flag("--json", options.json, "Print the answer of the core process as it came");
+  status->add_flag("--json", options.json, "Print the answer of the core process unchanged");
   return status;
 }
 
@@ -77,23 +78,24 @@
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     const int code = app.exit(error);
-    return code == 0 ? 0 : kUsage;
+    return code == 0 ? 0 : kExitUsage;
   }
   if (status->parsed()) return shelflink::programs::RunStatus(status_options);
   if (core->parsed()) return Run(shelflink::cluster::RunCore);
-  return store->parsed() ? Run(shelflink::batch::RunStore) : kUsage;
+  return store->parsed() ? Run(shelflink::batch::RunStore) : kExitUsage;
 }
 
 int Main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // A limit of the files' size is told as an error, as a full disk.
+  // Makes writes beyond the file size limit fail with an error, as on a full disk.
+  std::signal(SIGXFSZ, SIG_IGN);
   try {
     return RunCommand(argc, argv);
   } catch (const std::exception& error) {
     std::fputs("shelflink-control: ", stderr);
     std::fputs(error.what(), stderr);
     std::fputs("\n", stderr);
-    return kBadSettings;
+    return kExitBadSettings;
   }
 }
 
--- a/src/tier/programs/data_main.cpp
+++ b/src/tier/programs/data_main.cpp
@@ -1,6 +1,6 @@
-// shelflink-data: the data plane's binary. `shelflink-data proxy` serves clients until SIGTERM;
-// SIGHUP reads the settings file again. Exit codes: 0 left in order, 1 settings or addresses that
-// cannot be used, 2 usage.
+// shelflink-data: the binary of the data plane. `shelflink-data proxy` serves clients until
+// SIGTERM; SIGHUP reloads the settings file. Exit codes: 0 orderly shutdown, 1 invalid settings or
+// addresses, 2 usage.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr int kBadSettings = 1;
-constexpr int kUsage = 2;
+constexpr int kExitBadSettings = 1;
+constexpr int kExitUsage = 2;
 
 std::string SettingsPath() {
   const char* path = std::getenv("SHELFLINK_CONFIG");
@@ -33,12 +33,12 @@
 int RunProxy() {
   if (SettingsPath().empty()) {
     std::cerr << "shelflink-data: SHELFLINK_CONFIG: expected the path of the settings file\n";
-    return kBadSettings;
+    return kExitBadSettings;
   }
   const auto settings = shelflink::ReadSettings(SettingsPath());
   if (!settings) {
     PrintFindings(settings.error());
-    return kBadSettings;
+    return kExitBadSettings;
   }
   shelflink::log::Start(settings.value().node, shelflink::log::Level::kInfo);
   net::GlibLoop loop;
@@ -54,9 +54,9 @@
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     const int code = app.exit(error);
-    return code == 0 ? 0 : kUsage;
+    return code == 0 ? 0 : kExitUsage;
   }
-  return proxy->parsed() ? RunProxy() : kUsage;
+  return proxy->parsed() ? RunProxy() : kExitUsage;
 }
 
 int Main(int argc, char** argv) {
@@ -65,7 +65,7 @@
     return Run(argc, argv);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "shelflink-data: %s\n", error.what());
-    return kBadSettings;
+    return kExitBadSettings;
   }
 }
 
--- a/src/tier/programs/status_command.cpp
+++ b/src/tier/programs/status_command.cpp
@@ -15,12 +15,12 @@
 namespace shelflink::programs {
 namespace {
 
-int CannotBeTold(const std::string& why) {
-  std::cerr << "shelflink-control: status: cannot be told: " << why << '\n';
+int ReportUnknown(const std::string& reason) {
+  std::cerr << "shelflink-control: status: cannot be determined: " << reason << '\n';
   return kExitUnknown;
 }
 
-// Those of the settings file, this machine's own first.
+// The core processes that the settings file names: listen.control first, then the seeds.
 Result<std::vector<net::Address>> AddressesOfSettings() {
   const char* path = std::getenv("SHELFLINK_CONFIG");
   if (path == nullptr || *path == '\0') {
@@ -59,7 +59,7 @@
   cluster::StatusReport report;
 };
 
-// The error says what was expected and what came.
+// Fetches and parses the status; the error says what was expected and what was received.
 Result<Answer> Ask(const net::Address& core, std::chrono::milliseconds timeout) {
   const Result<std::string> body = operator_api::FetchStatus(core, timeout);
   if (!body) {
@@ -74,51 +74,53 @@
   return Answer{body.value(), report.value()};
 }
 
-// Core processes in turn, whom an answer names as the primary next.
-class Search {
+// Asks core processes one after the other until one answers as the primary. A process that an
+// answer names as the primary is asked next; no process is asked twice.
+class PrimarySearch {
  public:
-  Search(std::vector<net::Address> addresses, std::chrono::milliseconds timeout)
-      : waiting_(addresses.begin(), addresses.end()), timeout_(timeout) {}
+  PrimarySearch(std::vector<net::Address> addresses, std::chrono::milliseconds timeout)
+      : pending_(addresses.begin(), addresses.end()), timeout_(timeout) {}
 
   std::optional<Answer> FindPrimary() {
-    while (!waiting_.empty() && asked_.size() < kMostAsked) {
-      const net::Address core = waiting_.front();
-      waiting_.pop_front();
+    while (!pending_.empty() && asked_.size() < kMaxProcessesAsked) {
+      const net::Address core = pending_.front();
+      pending_.pop_front();
       if (!asked_.insert(core).second) continue;
       Result<Answer> answer = Ask(core, timeout_);
       if (!answer) {
-        Note(core, answer.error().text);
+        AddFailure(core, answer.error().text);
       } else if (answer.value().report.leads) {
         return std::move(answer.value());
       } else {
-        Note(core, "expected the primary, it is not");
+        AddFailure(core, "expected the primary, this process is not");
         const auto& primary = answer.value().report.primary_control;
-        if (primary) waiting_.push_front(*primary);
+        if (primary) pending_.push_front(*primary);
       }
     }
     return std::nullopt;
   }
 
-  const std::string& notes() const { return notes_; }
+  // Why no answer was that of the primary, as ADDRESS: REASON, separated by "; ".
+  const std::string& failures() const { return failures_; }
 
  private:
-  void Note(const net::Address& core, const std::string& text) {
-    if (!notes_.empty()) notes_ += "; ";
-    notes_ += core.Text() + ": " + text;
+  void AddFailure(const net::Address& core, const std::string& text) {
+    if (!failures_.empty()) failures_ += "; ";
+    failures_ += core.Text() + ": " + text;
   }
 
-  std::deque<net::Address> waiting_;
+  std::deque<net::Address> pending_;
   std::chrono::milliseconds timeout_;
   std::set<net::Address> asked_;
-  std::string notes_;
+  std::string failures_;
 };
 
 int ExitStatusOf(const cluster::StatusReport& report) {
   switch (cluster::RedundancyOf(report)) {
     case cluster::Redundancy::kWhole:
-      return kExitWhole;
+      return kExitFullyReplicated;
     case cluster::Redundancy::kLacking:
-      return kExitLacking;
+      return kExitUnderReplicated;
     case cluster::Redundancy::kUnknown:
       return kExitUnknown;
   }
@@ -129,16 +131,16 @@
 
 int RunStatus(const StatusOptions& options) {
   const Result<std::vector<net::Address>> addresses = AddressesOf(options);
-  if (!addresses) return CannotBeTold(addresses.error().text);
-  Search search(addresses.value(), options.timeout);
+  if (!addresses) return ReportUnknown(addresses.error().text);
+  PrimarySearch search(addresses.value(), options.timeout);
   const std::optional<Answer> answer = search.FindPrimary();
-  if (!answer) return CannotBeTold(search.notes());
+  if (!answer) return ReportUnknown(search.failures());
   std::cout << (options.json ? answer->json + "\n" : cluster::TextOf(answer->report));
   std::cout.flush();
   const int status = ExitStatusOf(answer->report);
   if (status != kExitUnknown) return status;
-  return CannotBeTold(answer->report.node +
-                      ": expected a primary that has heard of all stores; ask again");
+  return ReportUnknown(answer->report.node +
+                       ": expected a primary that has heard of all stores; ask again");
 }
 
 }  // namespace shelflink::programs
--- a/src/tier/programs/status_command.h
+++ b/src/tier/programs/status_command.h
@@ -1,5 +1,6 @@
 // `shelflink-control status`: asks core processes until one answers as the primary, and prints what
-// it tells of copies. Waits for the answers; nothing else may run in the process.
+// it reports about replication. Blocks until it has an answer, so nothing else may run in the
+// process.
 #ifndef SHELFLINK_TIER_PROGRAMS_STATUS_COMMAND_H_
 #define SHELFLINK_TIER_PROGRAMS_STATUS_COMMAND_H_
 
@@ -10,22 +11,24 @@
 
 namespace shelflink::programs {
 
-// Core processes that are asked, those that an answer names included.
-constexpr std::size_t kMostAsked = 16;
+// Limit on the core processes that are asked, including those that an answer names.
+constexpr std::size_t kMaxProcessesAsked = 16;
 
-// What the exit status tells.
-constexpr int kExitWhole = 0;
-constexpr int kExitLacking = 1;
+// Exit statuses.
+constexpr int kExitFullyReplicated = 0;
+constexpr int kExitUnderReplicated = 1;
 constexpr int kExitUnknown = 2;
 
 struct StatusOptions {
-  // Of `listen.control`, as ADDRESS:PORT; empty: listen.control and seeds of the settings file.
+  // `listen.control` of core processes, as ADDRESS:PORT. Empty: listen.control and seeds of the
+  // settings file that SHELFLINK_CONFIG names.
   std::vector<std::string> addresses;
-  std::chrono::milliseconds timeout{2000};  // Of each call.
+  std::chrono::milliseconds timeout{2000};  // For each call.
   bool json = false;
 };
 
-// Prints to standard output; where it cannot be told, one line to standard error.
+// Prints the status to standard output, or, if it cannot be determined, one line to standard error.
+// Returns the exit status.
 int RunStatus(const StatusOptions& options);
 
 }  // namespace shelflink::programs
--- a/tests/tier/programs/scripted_listener.h
+++ b/tests/tier/programs/scripted_listener.h
@@ -1,5 +1,6 @@
-// A listener on loopback that gives each connection one answer from a script, whatever it asks, and
-// may go on being silent. In a thread of its own; ends with its object.
+// A listener on loopback that sends the same answer to each connection, whatever the request is,
+// and then closes the connection or leaves it open without sending more. Runs in a thread of
+// its own, which the destructor ends.
 #ifndef SHELFLINK_TESTS_TIER_PROGRAMS_SCRIPTED_LISTENER_H_
 #define SHELFLINK_TESTS_TIER_PROGRAMS_SCRIPTED_LISTENER_H_
 
@@ -19,10 +20,12 @@
 
 class ScriptedListener {
  public:
-  enum class After : std::uint8_t { kClose, kSilence };
+  enum class AfterAnswer : std::uint8_t { kClose, kKeepOpen };
 
-  explicit ScriptedListener(std::string answer, After after = After::kClose)
-      : answer_(std::move(answer)), after_(after), socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
+  explicit ScriptedListener(std::string answer, AfterAnswer after_answer = AfterAnswer::kClose)
+      : answer_(std::move(answer)),
+        after_answer_(after_answer),
+        socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -30,7 +33,7 @@
     auto* generic = reinterpret_cast<sockaddr*>(&address);
     const bool listens = ::bind(socket_, generic, size) == 0 && ::listen(socket_, 16) == 0 &&
                          ::getsockname(socket_, generic, &size) == 0;
-    if (!listens) throw std::runtime_error("no listener on loopback");
+    if (!listens) throw std::runtime_error("cannot listen on loopback");
     port_ = ntohs(address.sin_port);
     thread_ = std::thread([this] { Serve(); });
   }
@@ -38,14 +41,14 @@
     ::shutdown(socket_, SHUT_RDWR);
     thread_.join();
     ::close(socket_);
-    for (const int open : open_) ::close(open);
+    for (const int connection : open_connections_) ::close(connection);
   }
   ScriptedListener(const ScriptedListener&) = delete;
   ScriptedListener& operator=(const ScriptedListener&) = delete;
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  int asked() const { return asked_; }
-  // Valid once the program that asked has ended.
+  int request_count() const { return request_count_; }
+  // The last request. May be read only after the client program has ended.
   const std::string& request() const { return request_; }
 
  private:
@@ -54,10 +57,10 @@
       const int connection = ::accept(socket_, nullptr, nullptr);
       if (connection < 0) return;
       ReadHead(connection);
-      ++asked_;
+      ++request_count_;
       WriteAnswer(connection);
-      if (after_ == After::kSilence) {
-        open_.push_back(connection);
+      if (after_answer_ == AfterAnswer::kKeepOpen) {
+        open_connections_.push_back(connection);
       } else {
         ::close(connection);
       }
@@ -84,12 +87,12 @@
   }
 
   std::string answer_;
-  After after_;
+  AfterAnswer after_answer_;
   int socket_;
   int port_ = 0;
-  std::atomic<int> asked_{0};
+  std::atomic<int> request_count_{0};
   std::string request_;
-  std::vector<int> open_;
+  std::vector<int> open_connections_;
   std::thread thread_;
 };
 
--- a/tests/tier/programs/status_program_test.cpp
+++ b/tests/tier/programs/status_program_test.cpp
@@ -1,5 +1,5 @@
-// `shelflink-control status` as an operator runs it, against listeners that answer well, badly, or
-// not at all: what is printed where, and the exit status.
+// Runs `shelflink-control status` as an operator does, against listeners that answer correctly,
+// incorrectly or not at all, and checks its output and its exit status.
 #define BOOST_TEST_MODULE status_program
 #include <sys/wait.h>
 
@@ -47,7 +47,7 @@
   std::filesystem::path path_;
 };
 
-// `settings`: the path for SHELFLINK_CONFIG; empty: there is none.
+// `settings`: the value of SHELFLINK_CONFIG; empty: the variable is unset.
 Outcome RunStatus(const std::string& arguments, const std::string& settings = "") {
   const Folder folder;
   const std::string out = folder.path() / "out";
@@ -60,7 +60,7 @@
   return {WIFEXITED(waited) ? WEXITSTATUS(waited) : -1, TextIn(out), TextIn(err)};
 }
 
-bool Has(const std::string& text, const std::string& part) {
+bool Contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
@@ -80,9 +80,9 @@
   return figures;
 }
 
-std::string WholeStatus() { return cluster::StatusOf(Figures()); }
+std::string FullyReplicatedStatus() { return cluster::StatusOf(Figures()); }
 
-std::string LackingStatus() {
+std::string UnderReplicatedStatus() {
   cluster::CoreFigures figures = Figures();
   figures.cluster.redundancy.partitions.whole = 63;
   figures.cluster.redundancy.open = {
@@ -90,7 +90,7 @@
   return cluster::StatusOf(figures);
 }
 
-std::string FollowerStatus(const std::string& primary_control) {
+std::string BackupStatus(const std::string& primary_control) {
   cluster::CoreFigures figures = Figures();
   figures.process.node = "edge-2";
   figures.cluster.redundancy = {};
@@ -98,105 +98,107 @@
   return cluster::StatusOf(figures);
 }
 
-BOOST_AUTO_TEST_CASE(whole_is_0_and_says_so) {
-  const ScriptedListener core(HttpAnswer("200 OK", WholeStatus()));
+BOOST_AUTO_TEST_CASE(full_replication_is_0_and_is_printed) {
+  const ScriptedListener core(HttpAnswer("200 OK", FullyReplicatedStatus()));
   const Outcome outcome = RunStatus("--address " + core.address());
   BOOST_TEST(outcome.exit_status == 0, outcome.err);
-  BOOST_TEST(Has(outcome.out, "redundancy: whole\n"));
-  BOOST_TEST(Has(outcome.out, "partitions: 64, 2 copies wanted of each, 64 whole\n"));
+  BOOST_TEST(Contains(outcome.out, "redundancy: whole\n"));
+  BOOST_TEST(Contains(outcome.out, "partitions: 64, 2 copies wanted of each, 64 whole\n"));
   BOOST_TEST(outcome.err == "");
   BOOST_TEST(core.request().starts_with("GET /status HTTP/1.1\r\n"));
 }
 
-BOOST_AUTO_TEST_CASE(what_lacks_copies_is_1) {
-  const ScriptedListener core(HttpAnswer("200 OK", LackingStatus()));
+BOOST_AUTO_TEST_CASE(under_replication_is_1) {
+  const ScriptedListener core(HttpAnswer("200 OK", UnderReplicatedStatus()));
   const Outcome outcome = RunStatus("--address " + core.address());
   BOOST_TEST(outcome.exit_status == 1, outcome.err);
-  BOOST_TEST(Has(outcome.out, "partition 9: 1 of 2 copies for 0.700 s"));
+  BOOST_TEST(Contains(outcome.out, "partition 9: 1 of 2 copies for 0.700 s"));
   BOOST_TEST(outcome.err == "");
 }
 
-BOOST_AUTO_TEST_CASE(programs_get_the_answer_as_it_came) {
-  const ScriptedListener core(HttpAnswer("200 OK", LackingStatus()));
+BOOST_AUTO_TEST_CASE(json_output_is_the_answer_unchanged) {
+  const ScriptedListener core(HttpAnswer("200 OK", UnderReplicatedStatus()));
   const Outcome outcome = RunStatus("--json --address " + core.address());
   BOOST_TEST(outcome.exit_status == 1);
-  BOOST_TEST(outcome.out == LackingStatus() + "\n");
+  BOOST_TEST(outcome.out == UnderReplicatedStatus() + "\n");
 }
 
-BOOST_AUTO_TEST_CASE(another_core_process_says_who_is_the_primary) {
-  const ScriptedListener primary(HttpAnswer("200 OK", WholeStatus()));
-  const ScriptedListener follower(HttpAnswer("200 OK", FollowerStatus(primary.address())));
-  const Outcome outcome = RunStatus("--address " + follower.address());
+BOOST_AUTO_TEST_CASE(the_primary_that_another_core_process_names_is_asked) {
+  const ScriptedListener primary(HttpAnswer("200 OK", FullyReplicatedStatus()));
+  const ScriptedListener backup(HttpAnswer("200 OK", BackupStatus(primary.address())));
+  const Outcome outcome = RunStatus("--address " + backup.address());
   BOOST_TEST(outcome.exit_status == 0, outcome.err);
-  BOOST_TEST(primary.asked() == 1);
+  BOOST_TEST(primary.request_count() == 1);
 }
 
-// Two that name each other: each is asked once.
-BOOST_AUTO_TEST_CASE(who_names_the_wrong_one_is_not_asked_for_ever) {
-  const ScriptedListener other(HttpAnswer("200 OK", FollowerStatus("")));
-  const ScriptedListener one(HttpAnswer("200 OK", FollowerStatus(other.address())));
+// Each address is asked once, although one is given twice and one is also named by an answer.
+BOOST_AUTO_TEST_CASE(no_core_process_is_asked_twice) {
+  const ScriptedListener other(HttpAnswer("200 OK", BackupStatus("")));
+  const ScriptedListener one(HttpAnswer("200 OK", BackupStatus(other.address())));
   const Outcome outcome = RunStatus("--address " + one.address() + " --address " + one.address() +
                                     " --address " + other.address());
   BOOST_TEST(outcome.exit_status == 2);
   BOOST_TEST(IsOneLine(outcome.err));
-  BOOST_TEST(Has(outcome.err, other.address() + ": expected the primary, it is not"));
-  BOOST_TEST(one.asked() == 1);
-  BOOST_TEST(other.asked() == 1);
+  BOOST_TEST(
+      Contains(outcome.err, other.address() + ": expected the primary, this process is not"));
+  BOOST_TEST(one.request_count() == 1);
+  BOOST_TEST(other.request_count() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(one_that_does_not_answer_costs_only_its_turn) {
-  const ScriptedListener silent("", ScriptedListener::After::kSilence);
-  const ScriptedListener core(HttpAnswer("200 OK", WholeStatus()));
+BOOST_AUTO_TEST_CASE(a_core_process_that_does_not_answer_is_skipped) {
+  const ScriptedListener silent("", ScriptedListener::AfterAnswer::kKeepOpen);
+  const ScriptedListener core(HttpAnswer("200 OK", FullyReplicatedStatus()));
   const Outcome outcome =
       RunStatus("--timeout-ms 200 --address " + silent.address() + " --address " + core.address());
   BOOST_TEST(outcome.exit_status == 0, outcome.err);
 }
 
-BOOST_AUTO_TEST_CASE(a_primary_that_has_not_heard_of_all_stores_cannot_tell) {
+BOOST_AUTO_TEST_CASE(a_primary_that_has_not_heard_of_all_stores_is_2) {
   cluster::CoreFigures figures = Figures();
   figures.cluster.redundancy.stores_heard = false;
   const ScriptedListener core(HttpAnswer("200 OK", cluster::StatusOf(figures)));
   const Outcome outcome = RunStatus("--address " + core.address());
   BOOST_TEST(outcome.exit_status == 2);
-  BOOST_TEST(Has(outcome.err, "edge-1: expected a primary that has heard of all stores"));
+  BOOST_TEST(Contains(outcome.err, "edge-1: expected a primary that has heard of all stores"));
 }
 
-// Nothing on standard output, one line that names the address and what was expected.
-void CheckCannotBeTold(const std::string& answer, ScriptedListener::After after,
-                       const std::string& got) {
-  const ScriptedListener core(answer, after);
+// Checks for exit status 2, no standard output, and one line on standard error that names the
+// address, what was expected, and `got`.
+void CheckUnknown(const std::string& answer, ScriptedListener::AfterAnswer after_answer,
+                  const std::string& got) {
+  const ScriptedListener core(answer, after_answer);
   const Outcome outcome = RunStatus("--timeout-ms 500 --address " + core.address());
   BOOST_TEST(outcome.exit_status == 2, got);
   BOOST_TEST(outcome.out == "");
   BOOST_TEST(IsOneLine(outcome.err), outcome.err);
-  BOOST_TEST(Has(outcome.err, core.address() + ": expected the status of a core process, "),
+  BOOST_TEST(Contains(outcome.err, core.address() + ": expected the status of a core process, "),
              outcome.err);
-  BOOST_TEST(Has(outcome.err, got), outcome.err);
+  BOOST_TEST(Contains(outcome.err, got), outcome.err);
 }
 
 BOOST_AUTO_TEST_CASE(bad_answers_are_2) {
-  using After = ScriptedListener::After;
-  const std::string status = WholeStatus();
-  CheckCannotBeTold("", After::kClose, "");
-  CheckCannotBeTold("", After::kSilence, "got no answer in time");
-  CheckCannotBeTold("nothing of HTTP\r\n\r\n", After::kClose, "");
-  CheckCannotBeTold(HttpAnswer("404 Not Found", R"({"error":"no such path"})"), After::kClose,
-                    "got status 404");
-  CheckCannotBeTold(HttpAnswer("302 Found", status), After::kClose, "got status 302");
-  CheckCannotBeTold(HttpAnswer("200 OK", ""), After::kClose, "got ");
-  CheckCannotBeTold(HttpAnswer("200 OK", "shelflink_core_is_primary 1\n"), After::kClose, "got ");
-  CheckCannotBeTold(HttpAnswer("200 OK", R"({"leads":"yes"})"), After::kClose, "leads");
-  CheckCannotBeTold(HttpAnswer("200 OK", status.substr(0, status.size() - 3)), After::kClose,
-                    "got ");
-  // It ends, or is silent, before its length.
+  using AfterAnswer = ScriptedListener::AfterAnswer;
+  const std::string status = FullyReplicatedStatus();
+  CheckUnknown("", AfterAnswer::kClose, "");
+  CheckUnknown("", AfterAnswer::kKeepOpen, "got no answer in time");
+  CheckUnknown("nothing of HTTP\r\n\r\n", AfterAnswer::kClose, "");
+  CheckUnknown(HttpAnswer("404 Not Found", R"({"error":"no such path"})"), AfterAnswer::kClose,
+               "got status 404");
+  CheckUnknown(HttpAnswer("302 Found", status), AfterAnswer::kClose, "got status 302");
+  CheckUnknown(HttpAnswer("200 OK", ""), AfterAnswer::kClose, "got ");
+  CheckUnknown(HttpAnswer("200 OK", "shelflink_core_is_primary 1\n"), AfterAnswer::kClose, "got ");
+  CheckUnknown(HttpAnswer("200 OK", R"({"leads":"yes"})"), AfterAnswer::kClose, "leads");
+  CheckUnknown(HttpAnswer("200 OK", status.substr(0, status.size() - 3)), AfterAnswer::kClose,
+               "got ");
+  // The connection is closed, or stays open, before the whole body has arrived.
   const std::string half = HttpAnswer("200 OK", status).substr(0, status.size());
-  CheckCannotBeTold(half, After::kClose, "");
-  CheckCannotBeTold(half, After::kSilence, "got no answer in time");
-  CheckCannotBeTold(HttpAnswer("200 OK", std::string(5U << 20, ' ')), After::kClose,
-                    "got a longer answer");
+  CheckUnknown(half, AfterAnswer::kClose, "");
+  CheckUnknown(half, AfterAnswer::kKeepOpen, "got no answer in time");
+  CheckUnknown(HttpAnswer("200 OK", std::string(5U << 20, ' ')), AfterAnswer::kClose,
+               "got a longer answer");
 }
 
-BOOST_AUTO_TEST_CASE(nobody_listens) {
+BOOST_AUTO_TEST_CASE(a_refused_connection_is_2) {
   std::string address;
   {
     const ScriptedListener gone("");
@@ -205,11 +207,11 @@
   const Outcome outcome = RunStatus("--address " + address);
   BOOST_TEST(outcome.exit_status == 2);
   BOOST_TEST(IsOneLine(outcome.err));
-  BOOST_TEST(Has(outcome.err, address + ": expected the status of a core process, "));
+  BOOST_TEST(Contains(outcome.err, address + ": expected the status of a core process, "));
 }
 
-BOOST_AUTO_TEST_CASE(addresses_come_from_the_settings_where_none_is_given) {
-  const ScriptedListener core(HttpAnswer("200 OK", WholeStatus()));
+BOOST_AUTO_TEST_CASE(addresses_come_from_the_settings_if_none_is_given) {
+  const ScriptedListener core(HttpAnswer("200 OK", FullyReplicatedStatus()));
   const Folder folder;
   const std::string settings = folder.path() / "settings";
   std::ofstream(settings) << "node=edge-1\nrole=core\nip=127.0.0.1\nzone=a\n"
@@ -217,17 +219,17 @@
                           << "\nportRange=7360,7375\n";
   const Outcome outcome = RunStatus("", settings);
   BOOST_TEST(outcome.exit_status == 0, outcome.err);
-  BOOST_TEST(core.asked() == 1);
+  BOOST_TEST(core.request_count() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_used_is_2_and_says_what_was_expected) {
+BOOST_AUTO_TEST_CASE(invalid_arguments_are_2_and_the_message_says_what_was_expected) {
   const Outcome none = RunStatus("");
   BOOST_TEST(none.exit_status == 2);
   BOOST_TEST(IsOneLine(none.err));
-  BOOST_TEST(Has(none.err, "expected --address ADDRESS:PORT"));
+  BOOST_TEST(Contains(none.err, "expected --address ADDRESS:PORT"));
   const Outcome name = RunStatus("--address edge-1:8683");
   BOOST_TEST(name.exit_status == 2);
-  BOOST_TEST(Has(name.err, "--address edge-1:8683: expected ADDRESS:PORT"));
+  BOOST_TEST(Contains(name.err, "--address edge-1:8683: expected ADDRESS:PORT"));
   const Outcome missing = RunStatus("", "/nowhere/settings");
   BOOST_TEST(missing.exit_status == 2);
   BOOST_TEST(IsOneLine(missing.err));
