--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -200,13 +200,13 @@
 }
 
 ListState EndpointCalls::CurrentListState() const {
-  return options_.list_state ? options_.list_state() : ListState::kExcused;
+  return options_.list_state ? options_.list_state() : ListState::kPlatformUnavailable;
 }
 
 bool EndpointCalls::IsSendForbidden(ActiveCall& active) const {
   if (!active.user->MaySend()) return true;
   const ListState list = CurrentListState();
-  return active.request.batch ? !ItemsMayGo(list) : !RequestsMayGo(list);
+  return active.request.batch ? !AllowsBatchItems(list) : !AllowsRequests(list);
 }
 
 void EndpointCalls::CheckListFreshness(const ActiveCall& active, const KnownEndpoint& known) const {
