--- a/src/tier/proxy/endpoint_calls.cpp
+++ b/src/tier/proxy/endpoint_calls.cpp
@@ -365,7 +365,7 @@
   }
 }
 
-// Ends an attempt that the endpoint did not execute. The call may be sent retry at any time.
+// Ends an attempt that the endpoint did not execute. The call may be sent again at any time.
 void EndpointCalls::EndNotRun(const CallPtr& active, AttemptKey key, Outcome outcome) {
   active->attempt_active = false;
   const bool retry = !active->send_forbidden && active->MaySendMore(loop_.Now());
--- a/tests/tier/coordination/failing_steps.h
+++ b/tests/tier/coordination/failing_steps.h
@@ -75,10 +75,10 @@
 //
 // - no acknowledged write is missing at a primary, neither when it accepts a write nor at the end;
 // - no process reports an older map than before; there are never two primaries;
-// - a write is acknowledged within `timeout` of the end of the step; within `timeout` after that
-// the
-//   intended number of replicas have all data, including the faulty disk unless it fails
-//   permanently or another disk has replaced it.
+// - a write is acknowledged within `timeout` of the end of the step;
+// - within `timeout` after that the intended number of replicas have all data,
+//   including the faulty disk unless it fails permanently or another disk
+//   has replaced it.
 std::vector<std::string> RunFaultedStep(const StepFault& fault, net::Span timeout);
 
 }  // namespace shelflink::coordination
--- a/tests/tier/coordination/full_disk_test.cpp
+++ b/tests/tier/coordination/full_disk_test.cpp
@@ -133,7 +133,7 @@
   CheckComplete(core.cluster, 3, 3);
 }
 
-// Leases are granted without a sync. A member must not grant leases until the next sync fails.
+// Leases are granted without a sync. A member with a full disk must stop that before a sync fails.
 BOOST_AUTO_TEST_CASE(a_member_detects_a_full_disk_in_the_step_that_writes) {
   Core core;
   Machine& machine = core.cluster.At(core.IndexOfBackup());
